--- a/micahold/benchlink/host.py
+++ b/micahold/benchlink/host.py
@@ -7,7 +7,7 @@
 
 from micahold import interface as api
 from micahold.benchlink import codec
-from micahold.logic import Controller
+from micahold.controller import Controller
 from micahold.settings import FormatError, decode_settings, seconds
 
 
--- a/micahold/laboratory/hearsay_model.py
+++ b/micahold/laboratory/hearsay_model.py
@@ -11,8 +11,8 @@
 from random import Random
 
 from micahold import interface as api
+from micahold.controller import Controller
 from micahold.laboratory.gossip_network import GroupMaker, Network, Node
-from micahold.logic import Controller
 from micahold.membership.bridge import Bridge
 from micahold.membership.evidence import Word, word
 from micahold.membership.group import Group
--- a/micahold/routing/exchange.py
+++ b/micahold/routing/exchange.py
@@ -13,8 +13,8 @@
 from twisted.python.failure import Failure
 
 from micahold import interface as api
+from micahold.controller import Controller
 from micahold.counters import Counters
-from micahold.logic import Controller
 from micahold.protocol.engine_list import ListNews
 from micahold.protocol.load_report import parse_load
 from micahold.protocol.query_fields import ClientQuery
--- a/tests/build.py
+++ b/tests/build.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from micahold import interface as api
-from micahold.logic import Controller
+from micahold.controller import Controller
 
 LOOKUP, REPORT, LOAD = 0, 1, 2
 
--- a/tests/test_benchlink.py
+++ b/tests/test_benchlink.py
@@ -295,7 +295,7 @@
 
 def test_the_module_of_the_decisions_keeps_its_size() -> None:
     policy = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["policy"]
-    assert policy == ["micahold/logic.py"]
+    assert policy == ["micahold/controller.py"]
     text = (ROOT / policy[0]).read_text()
     lines = text.splitlines()
     assert sum(1 for line in lines if line.strip()) <= 660
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -7,7 +7,7 @@
 import pytest
 
 from micahold import interface as api
-from micahold.logic import MOST_RUNS
+from micahold.controller import MOST_RUNS
 from tests import build
 from tests.build import LOOKUP, REPORT, Gateway, finals, sends
 from tests.test_design import crowd, press
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -17,7 +17,7 @@
 from hypothesis import strategies as st
 
 from micahold import interface as api
-from micahold.logic import Controller
+from micahold.controller import Controller
 from tests import build
 from tests.build import LOAD, LOOKUP, REPORT
 
--- a/tests/test_gossip_loopback.py
+++ b/tests/test_gossip_loopback.py
@@ -224,7 +224,7 @@
     _, memory, *names = done.stderr.decode().split()
     assert int(memory) < LAST_RELEASE_KB * 1.05
     modules = set(names)
-    assert "micahold.logic" in modules
+    assert "micahold.controller" in modules
     unwanted = ("click", "rich", "msgspec", "sexpdata", "structlog", "cryptography", "numpy", "scipy")
     assert not [one for one in modules if one.split(".")[0] in unwanted]
     parts = ("membership", "commands", "laboratory")
--- a/tests/test_rules_hold.py
+++ b/tests/test_rules_hold.py
@@ -12,7 +12,7 @@
 from hypothesis import strategies as st
 
 from micahold import interface as api
-from micahold.logic import Controller
+from micahold.controller import Controller
 from tests import build
 from tests.checker import BrokenRuleError, Checker
 
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -9,7 +9,7 @@
 import pytest
 
 from micahold import interface as api
-from micahold.logic import EngineView
+from micahold.controller import EngineView
 from tests import build
 from tests.build import LOOKUP, REPORT, Gateway, finals, sends
 
