--- a/micahold/program/front.py
+++ b/micahold/program/front.py
@@ -17,7 +17,7 @@
 from micahold.protocol.errors import ProtocolError
 from micahold.routing.exchange import Exchange
 from micahold.settings import FormatError
-from micahold.transport.calls import EnginePools
+from micahold.transport.calls import EngineConnectionPools
 from micahold.transport.channel import CommandChannel
 from micahold.transport.clients import ClientSessions
 from micahold.transport.directory import EngineDirectory
@@ -82,7 +82,7 @@
         self.phase = Phase.CONFIGURED
         settings = configuration.settings
         self.directory = EngineDirectory()
-        self.pools = EnginePools(
+        self.pools = EngineConnectionPools(
             clock,
             self.directory,
             counters,
@@ -179,7 +179,7 @@
         moved = new.channel != self.channel.address
         self.counters.add("reloads_taken_over")
         self.log("reload", channel_moved=moved, only_on_restart=on_restart)
-        self.channel.move(new.channel)
+        self.channel.change_address(new.channel)
 
     def reload(self, read: Callable[[], Configuration]) -> None:
         """SIGHUP: the platform's file and the operator's, each for itself."""
--- a/micahold/routing/exchange.py
+++ b/micahold/routing/exchange.py
@@ -19,11 +19,11 @@
 from micahold.protocol.load_report import parse_load
 from micahold.protocol.query_fields import ClientQuery
 from micahold.settings import decode_report
-from micahold.transport.attempts import Attempt, End, Order
-from micahold.transport.calls import EnginePools
-from micahold.transport.clients import Reply, Unusable
+from micahold.transport.attempts import Attempt, AttemptRequest, AttemptResult
+from micahold.transport.calls import EngineConnectionPools
+from micahold.transport.clients import QueryReply, UnusableQueryError
 from micahold.transport.directory import EngineDirectory
-from micahold.transport.timers import Timers
+from micahold.transport.timers import TimerQueue
 
 
 class Decider(Protocol):
@@ -40,7 +40,7 @@
     """A query from its arrival until it is answered and nothing of it is out."""
 
     asked: ClientQuery
-    reply: Reply
+    reply: QueryReply
     arrived: float
     deadline: float
     answered: bool = False
@@ -58,7 +58,7 @@
         seed: int,
         clock: Any,
         now: Callable[[], float],
-        pools: EnginePools,
+        pools: EngineConnectionPools,
         directory: EngineDirectory,
         counters: Counters,
         log: Callable[..., None],
@@ -71,7 +71,7 @@
         self.pools, self.directory, self.counters, self.log = pools, directory, counters, log
         self.classes = {one.name.encode(): index for index, one in enumerate(settings.classes)}
         self.tenants = {one.name.encode(): index for index, one in enumerate(settings.tenants)}
-        self.timers = Timers(clock)
+        self.timers = TimerQueue(clock)
         self.queries: dict[int, OpenQuery] = {}
         self.unanswered = 0
         self._decider = decider
@@ -99,24 +99,24 @@
             self._flushing = True
             self._at_turn_end(self._flush)
 
-    def take(self, query: ClientQuery, reply: Reply, waited: float = 0.0) -> int:
-        """A query of a client; ``Unusable`` where it can't be taken, and then nothing goes to an engine."""
+    def submit(self, query: ClientQuery, reply: QueryReply, waited: float = 0.0) -> int:
+        """A query of a client; ``UnusableQueryError`` where it can't be taken: nothing goes to an engine."""
         now = self.now()
         left = query.wait - waited
         query_class = self.classes.get(query.class_name)
         tenant = self.tenants.get(query.tenant or b"") if self.tenants else 0
         if query_class is None:
-            raise Unusable("unknown class")
+            raise UnusableQueryError("unknown class")
         if tenant is None:
-            raise Unusable("unknown tenant")
+            raise UnusableQueryError("unknown tenant")
         if query.id in self._ids:
-            raise Unusable("this id is open already")
+            raise UnusableQueryError("this id is open already")
         if query.wait > MOST_WAITS * self.settings.classes[query_class].deadline:
-            raise Unusable("field wait is out of range")
+            raise UnusableQueryError("field wait is out of range")
         if left <= 0:
-            raise Unusable("past its wait on arrival")
+            raise UnusableQueryError("past its wait on arrival")
         if self.settings.classes[query_class].effect is api.Effect.KEYED and query.token is None:
-            raise Unusable("field once is missing")
+            raise UnusableQueryError("field once is missing")
         self._last += 1
         number = self._last
         # The decisions are told the deadline that the front can keep, with its own lateness taken off.
@@ -128,7 +128,7 @@
         self.counters.most("queries_open", self.unanswered)
         # Should the decisions ever miss a deadline, the client still gets its answer within the slack.
         slack = self.settings.rules.answer_slack
-        item.overdue = self.timers.after(left + slack, self._overdue, number)
+        item.overdue = self.timers.call_later(left + slack, self._overdue, number)
         self._happened(
             api.QueryArrived(
                 query=number,
@@ -153,7 +153,7 @@
             if not item.answered and item.deadline > self._by:
                 item.deadline = self._by
                 for attempt in item.attempts:
-                    attempt.expire_by(self._by)
+                    attempt.shorten_expiry(self._by)
         self._happened(api.Closing(self._by))
 
     def drop(self, ticket: int) -> None:
@@ -179,15 +179,15 @@
         self.counters.add("list_updates")
         self._happened(news.update)
 
-    def _attempt_ended(self, end: End, number: int, attempt: int, engine: str, sent: float) -> None:
+    def _attempt_ended(self, end: AttemptResult, number: int, attempt: int, engine: str, sent: float) -> None:
         item = self.queries[number]
         item.out -= 1
         self.counters.add(f"attempts_{end.outcome.value}")
         elapsed = self.now() - sent
-        result = end.result
+        result = end.result_set
         if result is not None:
-            self._answer(number, "served", lambda reply: reply.serve(result))
-        figures = parse_load(end.load, self.settings.report_columns)
+            self._answer(number, "served", lambda reply: reply.send_result(result))
+        figures = parse_load(end.load_report, self.settings.report_columns)
         self._happened(
             api.AttemptEnded(
                 query=number,
@@ -214,14 +214,14 @@
         item = self.queries[number]
         if self._events:
             # A late turn: the decisions have not yet seen what came due before this.
-            item.overdue = self.timers.after(0.001, self._overdue, number)
+            item.overdue = self.timers.call_later(0.001, self._overdue, number)
             return
         self.counters.add("queries_overdue")
         self.log("query_overdue", id=item.asked.id.decode())
         self._answer(number, "failed", lambda reply: reply.fail("no answer in time"))
         self._happened(api.QueryDropped(number))
         for attempt in item.attempts:
-            attempt.give_up(api.Outcome.CANCELLED)
+            attempt.abort(api.Outcome.CANCELLED)
 
     # What the decisions want
 
@@ -265,7 +265,7 @@
             case api.Cancel(query, attempt):
                 item = self.queries.get(query)
                 if item is not None and attempt < len(item.attempts):
-                    item.attempts[attempt].give_up(api.Outcome.CANCELLED)
+                    item.attempts[attempt].abort(api.Outcome.CANCELLED)
             case api.SetTimer(timer, delay):
                 self.clock.callLater(
                     max(0.0, delay), self._timer, timer, self._generation, self.now() + delay
@@ -290,13 +290,13 @@
             self.log("action_error", action="send for an unknown query")
             return
         until = min(expires or item.deadline, item.deadline)
-        order = Order(
+        order = AttemptRequest(
             engine=engine,
-            id=item.asked.id,
+            query_id=item.asked.id,
             class_name=item.asked.class_name,
             token=item.asked.token,
             statement=item.asked.statement,
-            expires=until,
+            expires_at=until,
             deadline=item.deadline,
         )
         index = len(item.attempts)
@@ -311,9 +311,9 @@
         attempt.done.addCallback(self._attempt_ended, number, index, engine, now)
         attempt.done.addErrback(self._attempt_error)
         if item.answered or index >= self.settings.limits.max_attempts:
-            attempt.give_up(api.Outcome.MOOT)
+            attempt.abort(api.Outcome.MOOT)
         elif now >= until:
-            attempt.give_up(api.Outcome.TIMEOUT)
+            attempt.abort(api.Outcome.TIMEOUT)
         else:
             attempt.start()
 
@@ -323,7 +323,7 @@
     # Final answers
 
     def _answer(
-        self, number: int, kind: str, give: Callable[[Reply], None], why: api.Reason | None = None
+        self, number: int, kind: str, give: Callable[[QueryReply], None], why: api.Reason | None = None
     ) -> None:
         """The one final answer of a query; nothing where it has had that. ``why``: what the decisions say."""
         item = self.queries.get(number)
@@ -368,4 +368,4 @@
                 self._answer(number, "failed", lambda reply: reply.fail(text))
                 self._happened(api.QueryDropped(number))
             for attempt in item.attempts:
-                attempt.give_up(api.Outcome.CANCELLED)
+                attempt.abort(api.Outcome.CANCELLED)
--- a/micahold/transport/attempts.py
+++ b/micahold/transport/attempts.py
@@ -15,45 +15,45 @@
 from micahold.protocol.http_messages import Answer, encode_request
 from micahold.protocol.mysql_results import ResultRows
 from micahold.transport.calls import (
-    REST_S,
+    REUSE_DELAY_S,
     Call,
-    ConnectFailed,
-    ConnectionBroken,
-    EnginePools,
-    NotSent,
-    Unreadable,
+    CallNotSentError,
+    ConnectError,
+    ConnectionBrokenError,
+    EngineConnectionPools,
+    UnreadableResponseError,
 )
 from micahold.transport.directory import EngineDirectory
-from micahold.transport.timers import Timers
+from micahold.transport.timers import TimerQueue
 
-ASKED_WITHIN_S = 2.0  # an engine forgets a query that has not been asked for in this time
-ASK_PACE_S = 0.05  # news are asked for no faster than this, should an engine answer 202 at once
-MOST_PAGES = 64
-MOST_SPOILT = 8  # answers of one attempt that can't be read and are asked for again
+QUERY_LEASE_S = 2.0  # an engine forgets a query that has not been asked for in this time
+MIN_POLL_INTERVAL_S = 0.05  # news are asked for no faster than this, should an engine answer 202 at once
+MAX_PAGES = 64
+MAX_UNREADABLE_RESPONSES = 8  # answers of one attempt that can't be read and are asked for again
 UNTOUCHED = b"srv-untouched"
 ALL_PAGES, ONE_PAGE, LOAD = b"x-sheets", b"x-sheet", b"srv-load"
 
 
 @dataclass(slots=True)
-class Order:
+class AttemptRequest:
     """What to start where; times are on the clock of ``now``."""
 
     engine: str
-    id: bytes
+    query_id: bytes
     class_name: bytes
     token: bytes | None
     statement: bytes
-    expires: float
+    expires_at: float
     deadline: float
 
 
 @dataclass(slots=True)
-class End:
-    """How an attempt ended; ``result`` is the whole answer to the query after a good end."""
+class AttemptResult:
+    """How an attempt ended; ``result_set`` is the whole answer to the query after a good end."""
 
     outcome: Outcome
-    result: bytes | None = None
-    load: bytes | None = None
+    result_set: bytes | None = None
+    load_report: bytes | None = None
 
 
 class Attempt:
@@ -61,22 +61,22 @@
 
     def __init__(
         self,
-        order: Order,
-        pools: EnginePools,
+        request: AttemptRequest,
+        pools: EngineConnectionPools,
         directory: EngineDirectory,
         counters: Counters,
         now: Callable[[], float],
-        timers: Timers,
-        alive: Callable[[], None] = lambda: None,
+        timers: TimerQueue,
+        on_alive: Callable[[], None] = lambda: None,
     ) -> None:
-        self.order, self.pools, self.directory, self.alive = order, pools, directory, alive
+        self.request, self.pools, self.directory, self.on_alive = request, pools, directory, on_alive
         self.counters, self.now, self.timers = counters, now, timers
-        self.done: Deferred[End] = Deferred()
+        self.done: Deferred[AttemptResult] = Deferred()
         self.over = False
         self._call: Call | None = None
         self._posted: Call | None = None
         self._given_up: Outcome | None = None
-        self._path = b"/data/" + order.id
+        self._path = b"/data/" + request.query_id
         self._first: Answer | None = None  # the answer that told a good end
         self._pages = 0
         self._rows = ResultRows()
@@ -95,30 +95,30 @@
     # Start, news, pages
 
     def start(self) -> None:
-        order, now = self.order, self.now()
+        request, now = self.request, self.now()
         headers = [
-            (b"Via-Id", order.id),
-            (b"Via-Class", order.class_name),
-            (b"Via-Wait", b"%d" % max(1, int((order.expires - now) * 1000))),
+            (b"Via-Id", request.query_id),
+            (b"Via-Class", request.class_name),
+            (b"Via-Wait", b"%d" % max(1, int((request.expires_at - now) * 1000))),
         ]
-        if order.token is not None:
-            headers.append((b"Via-Token", order.token))
+        if request.token is not None:
+            headers.append((b"Via-Token", request.token))
         host = self._host()
         self._tail = b" HTTP/1.1\r\nHost: %s\r\n\r\n" % host
-        request = encode_request(b"POST", b"/data", host, tuple(headers), order.statement)
-        self._expiry = self.timers.after(max(0.0, order.expires - now), self.give_up, Outcome.TIMEOUT)
+        message = encode_request(b"POST", b"/data", host, tuple(headers), request.statement)
+        self._expiry = self.timers.call_later(max(0.0, request.expires_at - now), self.abort, Outcome.TIMEOUT)
         self._heard = now
-        self._posted = self._call = self.pools.call(order.engine, request, now, self._still_takes_work)
-        self._posted.result.addCallbacks(self._news, self._post_failed)
+        self._posted = self._call = self.pools.call(request.engine, message, now, self._still_takes_work)
+        self._posted.response.addCallbacks(self._news, self._post_failed)
 
     def _host(self) -> bytes:
-        address = self.directory.address(self.order.engine)
+        address = self.directory.address(self.request.engine)
         return b"%s:%d" % (address[0].encode(), address[1]) if address else b"engine"
 
     def _still_takes_work(self) -> bool:
         """Asked before the first byte: the list may have changed while a connection was made."""
         self._asked = self.now()
-        return self.directory.takes_work(self.order.engine)
+        return self.directory.accepts_queries(self.request.engine)
 
     def _note_asked(self) -> bool:
         self._asked = self.now()
@@ -129,26 +129,26 @@
             return
         request = b"GET %s/%d%s" % (self._path, number, self._tail)
         self._repeated = again
-        due = self._asked + ASKED_WITHIN_S
+        due = self._asked + QUERY_LEASE_S
         # A page tells its number: a second copy of an earlier answer can't pass for it.
         self._call = self.pools.call(
-            self.order.engine, request, due, self._note_asked, fresh, tells_itself=number > 0
+            self.request.engine, request, due, self._note_asked, fresh, self_identifying=number > 0
         )
         heard = self._page if number else self._news
-        self._call.result.addCallbacks(heard, self._get_failed, errbackArgs=(number,))
+        self._call.response.addCallbacks(heard, self._get_failed, errbackArgs=(number,))
 
     def _news(self, answer: Answer) -> None:
         now = self.now()
         was_known, self._is_known, self._heard = self._is_known, True, now
         untouched = answer.headers.get(UNTOUCHED) == b"1"
         if answer.status == 202:
-            self.alive()
+            self.on_alive()
             # Not at once: the connection that was just used has to rest, and another need not be made.
-            pause = max(self._asked + ASK_PACE_S - now, 2 * REST_S)
+            pause = max(self._asked + MIN_POLL_INTERVAL_S - now, 2 * REUSE_DELAY_S)
             self._later = self.pools.clock.callLater(pause, self._get, 0)
         elif answer.status == 200:
             self._first, count = answer, answer.headers.get(ALL_PAGES, b"")
-            if not count.isdigit() or len(count) > 3 or int(count) > MOST_PAGES:
+            if not count.isdigit() or len(count) > 3 or int(count) > MAX_PAGES:
                 self._unreadable(0)
                 return
             self._pages = int(count)
@@ -160,7 +160,7 @@
         elif not was_known and self._repeated:
             # The POST was never answered and the engine does not know the query yet: it must not later. That
             # is no sign that the engine is unwell: it answers, and resets hit connections to any.
-            self.give_up(Outcome.CANCELLED)
+            self.abort(Outcome.CANCELLED)
         else:
             self._end(Outcome.ERROR, answer)
 
@@ -198,30 +198,32 @@
 
         Guards against good results thrown away because the first answer came spoilt, cut off or never.
         """
-        if failure.check(NotSent):
+        if failure.check(CallNotSentError):
             self._end(Outcome.MOOT)
-        elif failure.check(ConnectFailed):
+        elif failure.check(ConnectError):
             self._end(Outcome.CONNECT_FAILED)
-        elif failure.check(Unreadable, ConnectionBroken):
-            self._ask_again(0, spoilt=failure.check(Unreadable) is not None)
+        elif failure.check(UnreadableResponseError, ConnectionBrokenError):
+            self._ask_again(0, spoilt=failure.check(UnreadableResponseError) is not None)
         else:
             self._end(Outcome.RESET)
             failure.raiseException()
 
     def _get_failed(self, failure: Failure, number: int) -> None:
-        if self._has_died(failure) or not failure.check(ConnectionBroken, ConnectFailed, Unreadable):
+        if self._has_died(failure) or not failure.check(
+            ConnectionBrokenError, ConnectError, UnreadableResponseError
+        ):
             self._end(Outcome.RESET)
         else:
-            fresh = not failure.check(ConnectFailed)
-            self._ask_again(number, spoilt=failure.check(Unreadable) is not None, fresh=fresh)
+            fresh = not failure.check(ConnectError)
+            self._ask_again(number, spoilt=failure.check(UnreadableResponseError) is not None, fresh=fresh)
 
     def _has_died(self, failure: Failure) -> bool:
         """Refused, and no connection of it is up any more.
 
         Guards against a second copy: an engine that ends soon takes no new connection and yet runs on.
         """
-        refused = failure.check(ConnectFailed) and getattr(failure.value, "refused", False)
-        return bool(refused) and not self.pools.has_connection(self.order.engine)
+        refused = failure.check(ConnectError) and getattr(failure.value, "refused", False)
+        return bool(refused) and not self.pools.has_established_connection(self.request.engine)
 
     def _ask_again(self, number: int, spoilt: bool, fresh: bool = True) -> None:
         """Only with a GET, on a new connection, until the engine forgets the query or spoils without end."""
@@ -231,28 +233,28 @@
         if spoilt:
             self._heard = now
             self._spoilt += 1
-        if self._spoilt > MOST_SPOILT:
-            self.give_up(Outcome.ERROR)
-        elif now > self._heard + ASKED_WITHIN_S:
+        if self._spoilt > MAX_UNREADABLE_RESPONSES:
+            self.abort(Outcome.ERROR)
+        elif now > self._heard + QUERY_LEASE_S:
             self._end(Outcome.RESET)
         else:
             self.counters.add("engine_news_asked_again")
-            pause = ASK_PACE_S if self._repeated else 0.0
+            pause = MIN_POLL_INTERVAL_S if self._repeated else 0.0
             self._asked_again = True
             self._later = self.pools.clock.callLater(pause, self._get, number, fresh, True)
 
     # Giving up
 
-    def expire_by(self, by: float) -> None:
+    def shorten_expiry(self, by: float) -> None:
         """Its query has to be answered by then, which is earlier than it was."""
-        order = self.order
-        if self.over or self._given_up is not None or by >= order.expires:
+        request = self.request
+        if self.over or self._given_up is not None or by >= request.expires_at:
             return
-        order.expires, order.deadline = by, min(by, order.deadline)
+        request.expires_at, request.deadline = by, min(by, request.deadline)
         self._stop(self._expiry)
-        self._expiry = self.timers.after(max(0.0, by - self.now()), self.give_up, Outcome.TIMEOUT)
+        self._expiry = self.timers.call_later(max(0.0, by - self.now()), self.abort, Outcome.TIMEOUT)
 
-    def give_up(self, outcome: Outcome) -> None:
+    def abort(self, outcome: Outcome) -> None:
         """Cancelled, timed out or cut off: with DELETE, and told as ended once it can't be out any more."""
         if self.over or self._given_up is not None:
             if self._given_up is not None and outcome is Outcome.TIMEOUT:
@@ -271,28 +273,28 @@
             posted.abandon()
         self._stop(self._later)
         self._delete(False)
-        self._limit = self.timers.after(
-            max(0.0, self._asked + ASKED_WITHIN_S + ASK_PACE_S - now), self._forgotten
+        self._limit = self.timers.call_later(
+            max(0.0, self._asked + QUERY_LEASE_S + MIN_POLL_INTERVAL_S - now), self._forgotten
         )
-        if now >= self.order.deadline:
+        if now >= self.request.deadline:
             self._end(outcome)  # the query is over, so no other attempt can follow
 
     def _delete(self, fresh: bool) -> None:
         request = b"DELETE %s%s" % (self._path, self._tail)
-        self._call = self.pools.call(self.order.engine, request, self.now(), None, fresh)
-        self._call.result.addCallbacks(self._deleted, self._delete_failed)
+        self._call = self.pools.call(self.request.engine, request, self.now(), None, fresh)
+        self._call.response.addCallbacks(self._deleted, self._delete_failed)
 
     def _deleted(self, answer: Answer) -> None:
         self._stop(self._limit)
         self._end_given_up()
 
     def _delete_failed(self, failure: Failure) -> None:
-        if self._has_died(failure) or not failure.check(ConnectFailed, ConnectionBroken):
+        if self._has_died(failure) or not failure.check(ConnectError, ConnectionBrokenError):
             self._stop(self._limit)
             self._end_given_up()
         elif self._limit is not None and self._limit.active():
-            fresh = not failure.check(ConnectFailed)
-            self._later = self.pools.clock.callLater(ASK_PACE_S, self._delete, fresh)
+            fresh = not failure.check(ConnectError)
+            self._later = self.pools.clock.callLater(MIN_POLL_INTERVAL_S, self._delete, fresh)
         else:
             self._end_given_up()
 
@@ -301,7 +303,7 @@
         self._stop(self._later)
         for call in (self._call, self._posted):
             if call is not None:
-                call.abandon(break_off=True)
+                call.abandon(abort_connection=True)
         self._end_given_up()
 
     def _end_given_up(self) -> None:
@@ -332,4 +334,4 @@
         rows, self._rows = self._rows, ResultRows()
         if self._given_up is None:
             self._let_go()
-        self.done.callback(End(outcome, rows.answer() if outcome is Outcome.OK else None, load))
+        self.done.callback(AttemptResult(outcome, rows.answer() if outcome is Outcome.OK else None, load))
--- a/micahold/transport/calls.py
+++ b/micahold/transport/calls.py
@@ -18,23 +18,27 @@
 from micahold.protocol.errors import ProtocolError
 from micahold.protocol.http_messages import Answer, AnswerReader
 from micahold.transport.directory import EngineDirectory
-from micahold.transport.timers import Timer, Timers
+from micahold.transport.timers import Timer, TimerQueue
 
-SWEEP_S = 1.0  # how often idle connections are looked through
-ANSWER_S = 0.6  # an engine has news within 250 ms: a call unanswered for so long is lost with its connection
-GRACE_S = 0.05  # more, for what has come but was not read yet by a late loop
-REST_S = 0.003  # between an answer and the next call on its connection: a second copy of it shows by then
+SWEEP_INTERVAL_S = 1.0  # how often idle connections are looked through
+RESPONSE_TIMEOUT_S = (
+    0.6  # an engine has news within 250 ms: a call unanswered for so long is lost with its connection
+)
+LATE_READ_GRACE_S = 0.05  # more, for what has come but was not read yet by a late loop
+REUSE_DELAY_S = (
+    0.003  # between an answer and the next call on its connection: a second copy of it shows by then
+)
 
 
-class CallFailed(Exception):
+class CallError(Exception):
     """A call that brought no answer."""
 
 
-class NotSent(CallFailed):
+class CallNotSentError(CallError):
     """Nothing was written: the call was no longer to be made when its turn came."""
 
 
-class ConnectFailed(CallFailed):
+class ConnectError(CallError):
     """No connection came up, so nothing was written."""
 
     def __init__(self, refused: bool) -> None:
@@ -42,46 +46,50 @@
         self.refused = refused
 
 
-class ConnectionBroken(CallFailed):
+class ConnectionBrokenError(CallError):
     """The connection ended after the call was written and before its answer was whole."""
 
 
-class Unreadable(CallFailed):
+class UnreadableResponseError(CallError):
     """What came is not an HTTP answer."""
 
 
 class Call:
     """One request to one engine: lined up, then written, then ended."""
 
-    def __init__(self, engine: str, request: bytes, due: float, wanted: Callable[[], bool] | None) -> None:
-        self.engine, self.request, self.due, self.wanted = engine, request, due, wanted
-        self.result: Deferred[Answer] = Deferred()
+    def __init__(
+        self, engine: str, request: bytes, due_at: float, should_send: Callable[[], bool] | None
+    ) -> None:
+        self.engine, self.request, self.due_at, self.should_send = engine, request, due_at, should_send
+        self.response: Deferred[Answer] = Deferred()
         self.written = self.ended = False
-        self.fresh = self.tells_itself = False
+        self.new_connection = self.self_identifying = False
         self.connection: EngineConnection | None = None
 
-    def answered(self, answer: Answer) -> None:
+    def succeed(self, answer: Answer) -> None:
         if not self.ended:
             self.ended = True
-            self.result.callback(answer)
+            self.response.callback(answer)
 
-    def failed(self, why: CallFailed) -> None:
+    def fail(self, why: CallError) -> None:
         if not self.ended:
-            self.ended, self.wanted = True, None
-            self.result.errback(Failure(why))
-
-    def abandon(self, break_off: bool = False) -> None:
-        """Nobody wants the answer any more; ``break_off`` also stops bytes that are still on their way."""
-        self.ended, self.wanted = True, None
-        self.result = Deferred()  # the other led back to who made the call
-        if break_off and self.connection is not None:
+            self.ended, self.should_send = True, None
+            self.response.errback(Failure(why))
+
+    def abandon(self, abort_connection: bool = False) -> None:
+        """Nobody wants the answer any more; ``abort_connection`` also stops bytes on their way."""
+        self.ended, self.should_send = True, None
+        self.response = Deferred()  # the other led back to who made the call
+        if abort_connection and self.connection is not None:
             self.connection.break_off()
 
 
 class EngineConnection(Protocol):
     """One connection, one call at a time."""
 
-    def __init__(self, pools: EnginePools, engine: str, address: tuple[str, int], first: Call) -> None:
+    def __init__(
+        self, pools: EngineConnectionPools, engine: str, address: tuple[str, int], first: Call
+    ) -> None:
         self.pools, self.engine, self.address = pools, engine, address
         self.first: Call | None = first
         self.call: Call | None = None
@@ -100,20 +108,20 @@
     def send(self, call: Call) -> None:
         transport: Any = self.transport
         self.call, call.connection, call.written = call, self, True
-        call.wanted = None  # it leads back to who made the call: no cycle is left behind
+        call.should_send = None  # it leads back to who made the call: no cycle is left behind
         transport.write(call.request)
-        self._limit = self.pools.timers.after(ANSWER_S, self._late, False)
+        self._limit = self.pools.timers.call_later(RESPONSE_TIMEOUT_S, self._late, False)
 
     def _late(self, again: bool) -> None:
         """Guards against answers that stop short or never come: every call has an end."""
         if not again:
-            self._limit = self.pools.timers.after(GRACE_S, self._late, True)
+            self._limit = self.pools.timers.call_later(LATE_READ_GRACE_S, self._late, True)
             return
         call = self.call
         self.pools.counters.add("engine_calls_unanswered")
         self.break_off()
         if call is not None:
-            call.failed(ConnectionBroken("no answer in time"))
+            call.fail(ConnectionBrokenError("no answer in time"))
 
     def dataReceived(self, data: bytes) -> None:
         call = self.call
@@ -125,7 +133,7 @@
         except ProtocolError as problem:
             self.break_off()
             self.pools.counters.add("engine_answers_unreadable")
-            call.failed(Unreadable(str(problem)))
+            call.fail(UnreadableResponseError(str(problem)))
             return
         if answer is not None:
             self._finish(call, answer)
@@ -137,9 +145,9 @@
             self.pools.free(self)
         else:
             self.drop()
-        call.answered(answer)
-        if self.pools.line:
-            self.pools.pump()
+        call.succeed(answer)
+        if self.pools.waiting_calls:
+            self.pools.dispatch_waiting()
 
     def break_off(self) -> None:
         """End the call out and the connection with it."""
@@ -173,9 +181,9 @@
         call.connection = None
         answer = self._reader.end() if reason.check(error.ConnectionDone) else None
         if answer is not None:
-            call.answered(answer)
+            call.succeed(answer)
         else:
-            call.failed(ConnectionBroken(reason.getErrorMessage()))
+            call.fail(ConnectionBrokenError(reason.getErrorMessage()))
 
 
 class _Connecting(ClientFactory):
@@ -183,7 +191,7 @@
 
     noisy = False
 
-    def __init__(self, pools: EnginePools, address: tuple[str, int], call: Call) -> None:
+    def __init__(self, pools: EngineConnectionPools, address: tuple[str, int], call: Call) -> None:
         self.pools, self.address = pools, address
         self.call: Call | None = call
 
@@ -207,60 +215,64 @@
             connector.transport = None
 
 
-class EnginePools:
-    """Connections to all engines: at most ``most`` in all, and calls wait in line by what is due first."""
+class EngineConnectionPools:
+    """Connections to all engines, ``max_connections`` at most; calls wait in line by what is due first."""
 
     def __init__(
         self,
         clock: Any,
         directory: EngineDirectory,
         counters: Counters,
-        most: int,
+        max_connections: int,
         connect_timeout: float,
-        idle_close: float,
+        engine_idle_timeout: float,
     ) -> None:
-        self.clock, self.directory, self.counters, self.timers = clock, directory, counters, Timers(clock)
-        self.most, self.connect_timeout = most, connect_timeout
+        self.clock, self.directory, self.counters, self.timers = clock, directory, counters, TimerQueue(clock)
+        self.max_connections, self.connect_timeout = max_connections, connect_timeout
         # Half the engines' own limit: a call must not cross the close of the connection it is written to.
-        self.idle_limit = idle_close / 2
-        self.open = 0  # connections that are up or being made
+        self.idle_limit = engine_idle_timeout / 2
+        self.open_connections = 0  # connections that are up or being made
         self._idle: dict[str, deque[EngineConnection]] = {}
-        self._up: dict[str, int] = {}  # connections that are up, by engine
-        self.line: list[tuple[float, int, Call]] = []
+        self._established: dict[str, int] = {}  # connections that are up, by engine
+        self.waiting_calls: list[tuple[float, int, Call]] = []
         self._serial = count()
-        self._sweep = clock.callLater(SWEEP_S, self._close_old) if self.idle_limit > 0 else None
+        self._sweep = clock.callLater(SWEEP_INTERVAL_S, self._close_old) if self.idle_limit > 0 else None
 
     def call(
         self,
         engine: str,
         request: bytes,
-        due: float,
-        wanted: Callable[[], bool] | None = None,
-        fresh: bool = False,
-        tells_itself: bool = False,
+        due_at: float,
+        should_send: Callable[[], bool] | None = None,
+        new_connection: bool = False,
+        self_identifying: bool = False,
     ) -> Call:
-        """Line a call up; ``wanted`` is asked before the first byte.
+        """Line a call up; ``should_send`` is asked before the first byte.
 
-        ``fresh`` asks for a new connection; ``tells_itself``: no other answer could pass for its own.
+        ``new_connection`` asks for one; ``self_identifying``: no other answer could pass for its own.
         """
-        call = Call(engine, request, due, wanted)
-        call.fresh, call.tells_itself = fresh, tells_itself
-        if self.line or not self._place(call):
-            heappush(self.line, (due, next(self._serial), call))
-            self.counters.most("calls_in_line", len(self.line))
+        call = Call(engine, request, due_at, should_send)
+        call.new_connection, call.self_identifying = new_connection, self_identifying
+        if self.waiting_calls or not self._place(call):
+            heappush(self.waiting_calls, (due_at, next(self._serial), call))
+            self.counters.most("calls_in_line", len(self.waiting_calls))
         return call
 
-    def pump(self) -> None:
+    def dispatch_waiting(self) -> None:
         """Place the calls that are due first, as far as there are connections."""
-        while self.line:
-            call = self.line[0][2]
+        while self.waiting_calls:
+            call = self.waiting_calls[0][2]
             if not call.ended and not self._place(call):
                 return
-            heappop(self.line)
+            heappop(self.waiting_calls)
 
     def _place(self, call: Call) -> bool:
         """False while there is no connection for it."""
-        rested = None if call.fresh else self._rested(call.engine, 0.0 if call.tells_itself else REST_S)
+        rested = (
+            None
+            if call.new_connection
+            else self._rested(call.engine, 0.0 if call.self_identifying else REUSE_DELAY_S)
+        )
         if rested is not None:
             self._start(rested, call)
             return True
@@ -268,10 +280,10 @@
         if address is None:
             self._not_sent(call, "the engine has gone")
             return True
-        if self.open >= self.most and not self._close_oldest():
+        if self.open_connections >= self.max_connections and not self._close_oldest():
             return False
-        self.open += 1
-        self.counters.most("engine_connections", self.open)
+        self.open_connections += 1
+        self.counters.most("engine_connections", self.open_connections)
         self.counters.add("engine_connects")
         self.clock.connectTCP(*address, _Connecting(self, address, call), timeout=self.connect_timeout)
         return True
@@ -292,7 +304,7 @@
     def _start(self, connection: EngineConnection, call: Call) -> None:
         if call.ended:
             self.free(connection)
-        elif call.wanted is not None and not call.wanted():
+        elif call.should_send is not None and not call.should_send():
             self.free(connection)
             self._not_sent(call, "no longer wanted")
         else:
@@ -301,22 +313,22 @@
 
     def _not_sent(self, call: Call, why: str) -> None:
         """Told in a turn of its own: the caller must have its call before the end of it."""
-        self.clock.callLater(0, call.failed, NotSent(why))
+        self.clock.callLater(0, call.fail, CallNotSentError(why))
 
-    def has_connection(self, engine: str) -> bool:
+    def has_established_connection(self, engine: str) -> bool:
         """Whether one is up: a process that has died has reset all of its connections."""
-        return engine in self._up
+        return engine in self._established
 
     def connected(self, connection: EngineConnection, call: Call) -> None:
-        self._up[connection.engine] = self._up.get(connection.engine, 0) + 1
+        self._established[connection.engine] = self._established.get(connection.engine, 0) + 1
         self._start(connection, call)
-        self.pump()
+        self.dispatch_waiting()
 
     def connect_failed(self, call: Call, refused: bool) -> None:
-        self.open -= 1
+        self.open_connections -= 1
         self.counters.add("engine_connects_refused" if refused else "engine_connects_failed")
-        call.failed(ConnectFailed(refused))
-        self.pump()
+        call.fail(ConnectError(refused))
+        self.dispatch_waiting()
 
     def free(self, connection: EngineConnection) -> None:
         if self.directory.address(connection.engine) != connection.address:
@@ -326,14 +338,14 @@
         self._idle.setdefault(connection.engine, deque()).append(connection)
 
     def lost(self, connection: EngineConnection) -> None:
-        self.open -= 1
-        self._up[connection.engine] -= 1
-        if not self._up[connection.engine]:
-            del self._up[connection.engine]
+        self.open_connections -= 1
+        self._established[connection.engine] -= 1
+        if not self._established[connection.engine]:
+            del self._established[connection.engine]
         idle = self._idle.get(connection.engine)
         if idle and connection in idle:
             idle.remove(connection)
-        self.clock.callLater(0, self.pump)
+        self.clock.callLater(0, self.dispatch_waiting)
 
     def _close_oldest(self) -> bool:
         """Make room for another engine's call."""
@@ -355,7 +367,7 @@
         for idle in self._idle.values():
             while idle and idle[0].idle_since <= before:
                 idle[0].drop()
-        self._sweep = self.clock.callLater(SWEEP_S, self._close_old)
+        self._sweep = self.clock.callLater(SWEEP_INTERVAL_S, self._close_old)
 
 
 def _idle_since(connection: EngineConnection) -> float:
--- a/micahold/transport/channel.py
+++ b/micahold/transport/channel.py
@@ -15,10 +15,13 @@
 from micahold.protocol.http_messages import MOST_HEAD, ChunkReader, encode_request, is_chunked, parse_head
 
 PATH = b"/cmd/next"
-SILENCE_S = 2.5  # a comment comes each second: two missed in a row end the connection
+SILENCE_TIMEOUT_S = 2.5  # a comment comes each second: two missed in a row end the connection
 CONNECT_S = 1.0
-PAUSE_S, LONGEST_PAUSE_S = 0.05, 0.4  # between connections that fail or end soon; else the next is at once
-LASTED_S = 0.5
+PAUSE_S, MAX_RECONNECT_DELAY_S = (
+    0.05,
+    0.4,
+)  # between connections that fail or end soon; else the next is at once
+STABLE_CONNECTION_S = 0.5
 MOST_DIGITS = 18  # of an event's number
 
 
@@ -39,10 +42,10 @@
         transport.setTcpNoDelay(True)
         headers = ((b"Accept", b"text/event-stream"), (b"Last-Event-ID", b"%d" % self.channel.cursor))
         transport.write(encode_request(b"GET", PATH, self.channel.host, headers))
-        self._silence = self.channel.clock.callLater(SILENCE_S, self._silent)
+        self._silence = self.channel.clock.callLater(SILENCE_TIMEOUT_S, self._silent)
 
     def dataReceived(self, data: bytes) -> None:
-        self._silence.reset(SILENCE_S)
+        self._silence.reset(SILENCE_TIMEOUT_S)
         try:
             self._read(data)
         except ProtocolError as problem:
@@ -126,7 +129,7 @@
         if self._stream is not None:
             self._stream.abort()
 
-    def move(self, address: tuple[str, int]) -> None:
+    def change_address(self, address: tuple[str, int]) -> None:
         """A new address: at once, on from the cursor; what the old connection still says is not heard.
 
         Guards against drains learned late: the old address may stay open and tell nothing more.
@@ -170,9 +173,9 @@
 
     def ended(self, stream: _Stream) -> None:
         if stream is not self._stream:
-            return  # left behind by a move
+            return  # left behind by a change of address
         self._stream = None
-        if self.clock.seconds() - stream.since >= LASTED_S:
+        if self.clock.seconds() - stream.since >= STABLE_CONNECTION_S:
             self._pause = 0.0
         self._again()
 
@@ -180,4 +183,4 @@
         if self._stopped:
             return
         self._next = self.clock.callLater(self._pause, self.start)
-        self._pause = min(LONGEST_PAUSE_S, self._pause * 2 or PAUSE_S)
+        self._pause = min(MAX_RECONNECT_DELAY_S, self._pause * 2 or PAUSE_S)
--- a/micahold/transport/clients.py
+++ b/micahold/transport/clients.py
@@ -25,16 +25,18 @@
 
 USER, DATABASE = b"app", b"dw"
 COM_QUIT, COM_INIT_DB, COM_QUERY, COM_PING = 0x01, 0x02, 0x03, 0x0E
-LARGEST_PACKET = 64 * 1024
-MOST_AHEAD = LARGEST_PACKET + 64 * 1024  # what a client may send while its query is open
+MAX_PACKET_BYTES = 64 * 1024
+MAX_SESSION_BUFFER_BYTES = MAX_PACKET_BYTES + 64 * 1024  # what a client may send while its query is open
 
-SWEEP_S = 0.25  # how often sessions are looked through for what is due
+SWEEP_INTERVAL_S = 0.25  # how often sessions are looked through for what is due
 FIRST_QUERY_S = 2.0  # from the connection to the first whole command: clients write login and query at once
-PACKET_S = 2.0  # from the first byte of a packet to its last
-IDLE_S = 5.0  # without a query: clients close idle connections after 4 s, and who does not must make room
-LAST_BYTES_S = 1.0  # for what was sent last to be read, when closing
-NEW_S = 0.02  # a connection younger than this is not closed to make room for another
-MOST_UNUSABLE = 3  # queries of one session that can't be used
+PACKET_TIMEOUT_S = 2.0  # from the first byte of a packet to its last
+IDLE_TIMEOUT_S = (
+    5.0  # without a query: clients close idle connections after 4 s, and who does not must make room
+)
+CLOSE_TIMEOUT_S = 1.0  # for what was sent last to be read, when closing
+MIN_EVICTION_AGE_S = 0.02  # a connection younger than this is not closed to make room for another
+MAX_UNUSABLE_QUERIES = 3  # queries of one session that can't be used
 
 TOO_MANY_CONNECTIONS, BAD_HANDSHAKE, NO_SUCH_DATABASE, ACCESS_DENIED = 1040, 1043, 1049, 1045
 UNKNOWN_COMMAND, SHUTDOWN, SYNTAX, NO_SUCH_THREAD = 1047, 1053, 1064, 1094
@@ -42,25 +44,25 @@
 OUT_OF_ORDER, READ_TIMEOUT = 1156, 1159
 
 
-class Unusable(Exception):
+class UnusableQueryError(Exception):
     """A query that can't be taken as it is; the text is for its client."""
 
 
-class Reply(Interface):
+class QueryReply(Interface):
     """Where the one final answer to a query goes."""
 
-    def serve(self, result: bytes) -> None: ...
+    def send_result(self, result: bytes) -> None: ...
 
     def refuse(self, retry_after: float) -> None: ...
 
     def fail(self, text: str) -> None: ...
 
 
-class QueryTaker(Interface):
+class QueryHandler(Interface):
     """Who answers for queries."""
 
-    def take(self, query: ClientQuery, reply: Reply, waited: float) -> int:
-        """A ticket for the query, which is owed an answer from now on; or raises ``Unusable``.
+    def submit(self, query: ClientQuery, reply: QueryReply, waited: float) -> int:
+        """A ticket for the query, which is owed an answer from now on; or raises ``UnusableQueryError``.
 
         ``waited`` is how long the query may have lain unread; its wait counts from then.
         """
@@ -78,7 +80,7 @@
     def __init__(self, sessions: ClientSessions, connection_id: int) -> None:
         self.sessions, self.connection_id = sessions, connection_id
         self.ticket: int | None = None
-        self._reader = PacketReader(LARGEST_PACKET, MOST_AHEAD)
+        self._reader = PacketReader(MAX_PACKET_BYTES, MAX_SESSION_BUFFER_BYTES)
         self._logged_in = self._choked = self._ended = self._is_used = False
         self.made_at = float(sessions.clock.seconds())
         self.due, self.idle_since = self.made_at + FIRST_QUERY_S, self.made_at
@@ -125,9 +127,9 @@
         """False where all sessions together keep more than they may, and this one adds to it."""
         if self._ended:
             self._reader.clear()
-        self.sessions.kept += self._reader.kept - self._counted
+        self.sessions.buffered_bytes += self._reader.kept - self._counted
         self._counted = self._reader.kept
-        return not self._counted or self.sessions.kept <= self.sessions.most_kept
+        return not self._counted or self.sessions.buffered_bytes <= self.sessions.max_buffered_bytes
 
     def _note_due(self) -> None:
         """When this session must have moved on; a packet that comes byte by byte wins no time by that."""
@@ -137,9 +139,9 @@
         if self.ticket is not None:
             self.due = inf
         elif self._reader.kept and not self._choked:
-            self.due = min(self.due, now + PACKET_S)
+            self.due = min(self.due, now + PACKET_TIMEOUT_S)
         elif self._is_used:
-            self.due, self.idle_since = now + IDLE_S, now
+            self.due, self.idle_since = now + IDLE_TIMEOUT_S, now
 
     def overdue(self) -> None:
         """Guards against clients that say nothing, stop within a packet, stay for good or do not read."""
@@ -154,7 +156,7 @@
 
     def gives_way(self, now: float) -> bool:
         """May be closed to make room: nothing is open on it, and it has had its time to ask."""
-        return self.ticket is None and not self._ended and now >= self.idle_since + NEW_S
+        return self.ticket is None and not self._ended and now >= self.idle_since + MIN_EVICTION_AGE_S
 
     @property
     def is_used(self) -> bool:
@@ -199,7 +201,7 @@
         self._ended = True
         self._count_kept()
         self._drop_query()
-        self.due = float(self.sessions.clock.seconds()) + LAST_BYTES_S
+        self.due = float(self.sessions.clock.seconds()) + CLOSE_TIMEOUT_S
         transport: Any = self.transport
         transport.unregisterProducer()
         transport.loseConnection()
@@ -273,10 +275,10 @@
         self.sessions.counters.add("queries_received")
         try:
             waited = float(self.sessions.clock.seconds()) - self._came_at
-            self.ticket = self.sessions.taker.take(parse_query(text), self, waited)
+            self.ticket = self.sessions.handler.submit(parse_query(text), self, waited)
         except ProtocolError as problem:
             self._unusable_query(SYNTAX, str(problem))
-        except Unusable as problem:
+        except UnusableQueryError as problem:
             self._unusable_query(FAILED, str(problem))
 
     def _unusable_query(self, code: int, why: str) -> None:
@@ -285,7 +287,7 @@
         self.sessions.counters.add("unusable_" + why.replace(" ", "_"))
         self._unusable += 1
         self._send(error_payload(code, why))
-        if self._unusable >= MOST_UNUSABLE:
+        if self._unusable >= MAX_UNUSABLE_QUERIES:
             self._close()
 
     def killed(self) -> bool:
@@ -299,11 +301,11 @@
     def _drop_query(self) -> None:
         if self.ticket is not None:
             ticket, self.ticket = self.ticket, None
-            self.sessions.taker.drop(ticket)
+            self.sessions.handler.drop(ticket)
 
     # The final answer
 
-    def serve(self, result: bytes) -> None:
+    def send_result(self, result: bytes) -> None:
         self._answer(result)
 
     def refuse(self, retry_after: float) -> None:
@@ -335,18 +337,27 @@
     def __init__(
         self,
         clock: Any,
-        taker: QueryTaker,
+        handler: QueryHandler,
         counters: Counters,
         log: Callable[..., None],
         seed: int,
-        most: int,
+        max_sessions: int,
         unread_for: Callable[[], float] = lambda: 0.0,
-        most_kept: int = 4 * 1024 * 1024,
+        max_buffered_bytes: int = 4 * 1024 * 1024,
     ) -> None:
         self.unread_for = unread_for
-        self.kept, self.most_kept = 0, most_kept  # bytes of all sessions that are not worked off yet
+        self.buffered_bytes, self.max_buffered_bytes = (
+            0,
+            max_buffered_bytes,
+        )  # bytes of all sessions that are not worked off yet
         self._next_sweep = 0.0
-        self.clock, self.taker, self.counters, self.log, self.most = clock, taker, counters, log, most
+        self.clock, self.handler, self.counters, self.log, self.max_sessions = (
+            clock,
+            handler,
+            counters,
+            log,
+            max_sessions,
+        )
         self._salt = seed.to_bytes(8, "little", signed=False)
         # A KILL QUERY with an id of an earlier start must hit nobody: starts lie far apart.
         self._last_id = int.from_bytes(blake2b(self._salt, digest_size=4).digest(), "little")
@@ -358,14 +369,14 @@
     def _end_overdue(self) -> None:
         """After a stall of ours nobody is overdue yet: what they sent may have come and lie unread."""
         now = float(self.clock.seconds())
-        if now < self._next_sweep + SWEEP_S:
+        if now < self._next_sweep + SWEEP_INTERVAL_S:
             for session in [one for one in self._sessions.values() if one.due <= now]:
                 session.overdue()
         self._sweep_later()
 
     def _sweep_later(self) -> None:
-        self._next_sweep = float(self.clock.seconds()) + SWEEP_S
-        self.clock.callLater(SWEEP_S, self._end_overdue)
+        self._next_sweep = float(self.clock.seconds()) + SWEEP_INTERVAL_S
+        self.clock.callLater(SWEEP_INTERVAL_S, self._end_overdue)
 
     def buildProtocol(self, addr: IAddress | None) -> ClientSession:
         self._last_id = self._last_id % 0xFFFFFFFF + 1
@@ -378,7 +389,7 @@
 
     def admit(self, session: ClientSession) -> bool:
         self.counters.add("client_connections")
-        if len(self._sessions) >= self.most and not self._make_room():
+        if len(self._sessions) >= self.max_sessions and not self._make_room():
             self.counters.add("client_connections_turned_away")
             return False
         self._sessions[session.connection_id] = session
--- a/micahold/transport/directory.py
+++ b/micahold/transport/directory.py
@@ -25,7 +25,7 @@
         self._addresses = {one: place for one, place in self._addresses.items() if one in self._states}
         return [engine for engine, before in listed.items() if before != self._addresses.get(engine)]
 
-    def takes_work(self, engine: str) -> bool:
+    def accepts_queries(self, engine: str) -> bool:
         return self._states.get(engine) is EngineState.UP and engine in self._addresses
 
     def address(self, engine: str) -> tuple[str, int] | None:
--- a/micahold/transport/timers.py
+++ b/micahold/transport/timers.py
@@ -7,7 +7,7 @@
 from itertools import count
 from typing import Any
 
-MOST_DEAD = 1000  # called-off timers that may stay in line before it is cleared of them
+MAX_CANCELLED_TIMERS = 1000  # called-off timers that may stay in line before it is cleared of them
 
 
 class Timer:
@@ -15,13 +15,13 @@
 
     __slots__ = ("_act", "_args", "_timers")
 
-    def __init__(self, timers: Timers, act: Callable[..., None], args: tuple[Any, ...]) -> None:
+    def __init__(self, timers: TimerQueue, act: Callable[..., None], args: tuple[Any, ...]) -> None:
         self._timers, self._act, self._args = timers, act, args
 
     def cancel(self) -> None:
         if self._act is not None:
             self._act, self._args = None, ()  # type: ignore[assignment]
-            self._timers.dead += 1
+            self._timers.cancelled += 1
 
     def active(self) -> bool:
         return self._act is not None
@@ -29,23 +29,23 @@
     def fire(self) -> None:
         act, args = self._act, self._args
         if act is None:
-            self._timers.dead -= 1
+            self._timers.cancelled -= 1
         else:
             self._act, self._args = None, ()  # type: ignore[assignment]
             act(*args)
 
 
-class Timers:
+class TimerQueue:
     """Fires each timer in its turn; never early."""
 
     def __init__(self, clock: Any) -> None:
         self.clock = clock
-        self.dead = 0
+        self.cancelled = 0
         self._line: list[tuple[float, int, Timer]] = []
         self._serial = count()
         self._armed: Any = None
 
-    def after(self, delay: float, act: Callable[..., None], *args: Any) -> Timer:
+    def call_later(self, delay: float, act: Callable[..., None], *args: Any) -> Timer:
         at = self.clock.seconds() + delay
         timer = Timer(self, act, args)
         heappush(self._line, (at, next(self._serial), timer))
@@ -64,10 +64,10 @@
     def _fire(self) -> None:
         self._armed = None
         now = self.clock.seconds()
-        if self.dead > MOST_DEAD and self.dead * 2 > len(self._line):
+        if self.cancelled > MAX_CANCELLED_TIMERS and self.cancelled * 2 > len(self._line):
             self._line = [one for one in self._line if one[2].active()]
             heapify(self._line)
-            self.dead = 0
+            self.cancelled = 0
         try:
             while self._line and self._line[0][0] <= now:
                 heappop(self._line)[2].fire()
--- a/tests/network.py
+++ b/tests/network.py
@@ -11,10 +11,10 @@
 from micahold import interface as api
 from micahold.counters import Counters
 from micahold.protocol.engine_list import ListNews
-from micahold.transport.attempts import Attempt, End, Order
-from micahold.transport.calls import EnginePools
+from micahold.transport.attempts import Attempt, AttemptRequest, AttemptResult
+from micahold.transport.calls import EngineConnectionPools
 from micahold.transport.directory import EngineDirectory
-from micahold.transport.timers import Timers
+from micahold.transport.timers import TimerQueue
 
 PAGE = b"a\t1\tx\n"
 
@@ -100,20 +100,27 @@
 
     def __init__(self, most: int = 10) -> None:
         super().__init__()
-        self.directory, self.counters, self.timers = EngineDirectory(), Counters(), Timers(self.clock)
+        self.directory, self.counters, self.timers = EngineDirectory(), Counters(), TimerQueue(self.clock)
         self.directory.update(news(a="up", b="up"))
-        self.pools = EnginePools(
-            self.clock, self.directory, self.counters, most=most, connect_timeout=0.25, idle_close=15.0
+        self.pools = EngineConnectionPools(
+            self.clock,
+            self.directory,
+            self.counters,
+            max_connections=most,
+            connect_timeout=0.25,
+            engine_idle_timeout=15.0,
         )
 
     def attempt(self, engine: str = "a", wait: float = 5.0, token: bytes | None = None) -> Attempt:
         now = self.clock.seconds()
-        order = Order(engine, b"9b1f03aa5c7e2d41", b"report", token, b"SELECT 1", now + wait, now + wait)
+        order = AttemptRequest(
+            engine, b"9b1f03aa5c7e2d41", b"report", token, b"SELECT 1", now + wait, now + wait
+        )
         return Attempt(order, self.pools, self.directory, self.counters, self.clock.seconds, self.timers)
 
-    def start(self, **options: Any) -> tuple[Attempt, list[End]]:
+    def start(self, **options: Any) -> tuple[Attempt, list[AttemptResult]]:
         """An attempt that has started, and the list its end will be in."""
-        attempt, ends = self.attempt(**options), list[End]()
+        attempt, ends = self.attempt(**options), list[AttemptResult]()
         attempt.done.addCallback(ends.append)
         attempt.start()
         return attempt, ends
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -8,8 +8,13 @@
 import pytest
 
 from micahold.interface import Outcome
-from micahold.transport.attempts import ASK_PACE_S, ASKED_WITHIN_S, MOST_PAGES, MOST_SPOILT
-from micahold.transport.calls import ANSWER_S, GRACE_S, REST_S
+from micahold.transport.attempts import (
+    MAX_PAGES,
+    MAX_UNREADABLE_RESPONSES,
+    MIN_POLL_INTERVAL_S,
+    QUERY_LEASE_S,
+)
+from micahold.transport.calls import LATE_READ_GRACE_S, RESPONSE_TIMEOUT_S, REUSE_DELAY_S
 from tests.mysql_client import read_result
 from tests.network import PAGE, EngineSide, Link, answer, news
 
@@ -49,9 +54,9 @@
     link.say(answer(200, b"", X_Sheet="2"))
     (end,) = ends
     assert end.outcome is Outcome.OK
-    assert end.result is not None
-    assert read_result(end.result) == [(b"a", b"1", b"x")] * 3
-    assert end.load == b"inflight:7;util:0.5"
+    assert end.result_set is not None
+    assert read_result(end.result_set) == [(b"a", b"1", b"x")] * 3
+    assert end.load_report == b"inflight:7;util:0.5"
     world.turn(10.0)
     assert len(ends) == 1
 
@@ -80,13 +85,13 @@
     _, ends = world.start()
     first_link(world).say(data)
     assert [end.outcome for end in ends] == [outcome]
-    assert ends[0].result is None
+    assert ends[0].result_set is None
 
 
 SPOILT = [
     answer(200, PAGE),
     answer(200, PAGE, X_Sheets="many"),
-    answer(200, PAGE, X_Sheets=str(MOST_PAGES + 1)),
+    answer(200, PAGE, X_Sheets=str(MAX_PAGES + 1)),
     answer(200, b"a\tb\n", X_Sheets="1"),
     answer(200, b"a\tb\tc", X_Sheets="1"),
     b"HTTP/1.1 200 OK\r\n\r\n" + PAGE,
@@ -106,7 +111,7 @@
     assert again.transport.sent() == get(0)
     again.say(answer(200, PAGE, X_Sheets="1"))
     assert [end.outcome for end in ends] == [Outcome.OK]
-    assert ends[0].result is not None and read_result(ends[0].result) == [(b"a", b"1", b"x")]
+    assert ends[0].result_set is not None and read_result(ends[0].result_set) == [(b"a", b"1", b"x")]
     assert world.counters.values["attempts_saved"] == 1
 
 
@@ -114,26 +119,26 @@
     world = EngineSide()
     _, ends = world.start(wait=30.0)
     first_link(world).say(b"noise")
-    for at in range(1, MOST_SPOILT + 1):
-        world.turn(ASK_PACE_S)
+    for at in range(1, MAX_UNREADABLE_RESPONSES + 1):
+        world.turn(MIN_POLL_INTERVAL_S)
         again = world.links[at].up()
         assert again.transport.sent() == get(0)
         again.say(b"noise")
     assert not ends
-    last = world.links[MOST_SPOILT + 1].up()
+    last = world.links[MAX_UNREADABLE_RESPONSES + 1].up()
     assert last.transport.sent() == DELETE
     last.say(answer(204))
     assert [end.outcome for end in ends] == [Outcome.ERROR]
     world.turn(10.0)
-    assert len(world.links) == MOST_SPOILT + 2
+    assert len(world.links) == MAX_UNREADABLE_RESPONSES + 2
 
 
 def test_a_post_that_is_never_answered_is_asked_about() -> None:
     world = EngineSide()
     _, ends = world.start()
     link = first_link(world)
-    world.turn(ANSWER_S)
-    world.turn(GRACE_S)
+    world.turn(RESPONSE_TIMEOUT_S)
+    world.turn(LATE_READ_GRACE_S)
     assert link.transport.aborted
     world.turn()
     world.links[1].up().say(answer(200, PAGE, X_Sheets="1"))
@@ -149,7 +154,7 @@
     link = world.links[1].up()
     link.say(answer(500))
     assert not ends
-    world.turn(REST_S)
+    world.turn(REUSE_DELAY_S)
     last = world.links[2].up()
     assert last.transport.sent() == DELETE
     last.say(answer(204))
@@ -163,14 +168,14 @@
     for _ in range(5):
         link.say(answer(202))
         assert link.transport.sent() == b""
-        world.turn(ASK_PACE_S)
+        world.turn(MIN_POLL_INTERVAL_S)
         assert link.transport.sent() == get(0)
     world.turn(0.25)
     link.say(answer(202))
     assert (
         link.transport.sent() == b""
     )  # a long poll that took its time: as soon as the connection has rested
-    world.turn(2 * REST_S)
+    world.turn(2 * REUSE_DELAY_S)
     assert link.transport.sent() == get(0)
     assert len(world.links) == 1
     link.say(answer(200, PAGE, X_Sheets="1"))
@@ -196,7 +201,7 @@
     again = world.links[1].up()
     assert again.transport.sent() == get(1)
     again.say(answer(200, PAGE))  # nor one without a number
-    world.turn(ASK_PACE_S)
+    world.turn(MIN_POLL_INTERVAL_S)
     assert world.links[2].up().transport.sent() == get(1)
     assert not ends
 
@@ -252,7 +257,7 @@
     link.lose()
     world.turn()
     world.links[1].refuse()
-    assert [(end.outcome, end.result) for end in ends] == [(Outcome.RESET, None)]
+    assert [(end.outcome, end.result_set) for end in ends] == [(Outcome.RESET, None)]
 
 
 def test_a_get_is_not_asked_again_for_longer_than_the_engine_keeps_the_query() -> None:
@@ -260,10 +265,10 @@
     _, ends = world.start(wait=30.0)
     link = first_link(world)
     link.say(answer(202))
-    world.turn(ASK_PACE_S)
+    world.turn(MIN_POLL_INTERVAL_S)
     link.lose()
     for _ in range(20):
-        world.turn(ASK_PACE_S)
+        world.turn(MIN_POLL_INTERVAL_S)
         for one in world.links[1:]:
             if one.protocol is None and not ends:
                 world.turn(0.25)
@@ -298,8 +303,8 @@
     world = EngineSide()
     attempt, ends = world.start()
     link = first_link(world)
-    attempt.give_up(Outcome.CANCELLED)
-    attempt.give_up(Outcome.CANCELLED)
+    attempt.abort(Outcome.CANCELLED)
+    attempt.abort(Outcome.CANCELLED)
     assert not ends
     gone = world.links[1].up()
     assert gone.transport.sent() == DELETE
@@ -314,9 +319,9 @@
     attempt, ends = world.start(wait=60.0)
     link = first_link(world)
     world.turn(1.0)
-    attempt.give_up(Outcome.CANCELLED)
+    attempt.abort(Outcome.CANCELLED)
     world.links[1].up()
-    world.turn(ASKED_WITHIN_S - 1.1)
+    world.turn(QUERY_LEASE_S - 1.1)
     assert not ends
     world.turn(0.3)
     assert [end.outcome for end in ends] == [Outcome.CANCELLED]
@@ -326,7 +331,7 @@
 def test_an_attempt_cancelled_before_its_first_byte_is_never_written() -> None:
     world = EngineSide()
     attempt, ends = world.start()
-    attempt.give_up(Outcome.CANCELLED)
+    attempt.abort(Outcome.CANCELLED)
     assert [end.outcome for end in ends] == [Outcome.CANCELLED]
     assert world.links[0].up().transport.sent() == b""
 
@@ -335,9 +340,9 @@
     world = EngineSide()
     attempt, ends = world.start()
     first_link(world)
-    attempt.give_up(Outcome.CANCELLED)
+    attempt.abort(Outcome.CANCELLED)
     world.links[1].up().lose()
-    world.turn(ASK_PACE_S)
+    world.turn(MIN_POLL_INTERVAL_S)
     again = world.links[2].up()
     assert again.transport.sent() == DELETE
     again.say(answer(204))
@@ -358,7 +363,7 @@
     world = EngineSide()
     first, first_ends = world.start()
     link = first_link(world)
-    first.give_up(Outcome.CANCELLED)
+    first.abort(Outcome.CANCELLED)
     world.links[1].up().say(answer(204))
     _, second_ends = world.start()
     link.say(answer(200, PAGE, X_Sheets="1"))  # the first one's, late
@@ -373,11 +378,11 @@
     world.start(wait=30.0)
     link, _ = (one.up() for one in world.links)
     link.transport.clear()
-    attempt.give_up(Outcome.CANCELLED)
+    attempt.abort(Outcome.CANCELLED)
     world.links[2].refuse()
     assert not ends
     link.say(answer(202))  # the POST's answer, which nobody wants, frees its connection
-    world.turn(ASK_PACE_S)
+    world.turn(MIN_POLL_INTERVAL_S)
     assert link.transport.sent() == DELETE
     link.say(answer(204))
     assert [end.outcome for end in ends] == [Outcome.CANCELLED]
@@ -392,10 +397,10 @@
     world.turn()
     world.links[2].refuse()
     busy.say(answer(202))
-    world.turn(2 * REST_S)
+    world.turn(2 * REUSE_DELAY_S)
     assert not ends
     busy.transport.clear()
-    world.turn(ASK_PACE_S)
+    world.turn(MIN_POLL_INTERVAL_S)
     assert busy.transport.sent() == get(0)
     busy.say(answer(200, PAGE, X_Sheets="1"))
     assert [end.outcome for end in ends] == [Outcome.OK]
@@ -412,7 +417,7 @@
         left = weakref.ref(attempt)
         link = first_link(world)
         if how == "cancelled":
-            attempt.give_up(Outcome.CANCELLED)
+            attempt.abort(Outcome.CANCELLED)
         elif how == "expired":
             world.turn(1.0)
         elif how == "served":
--- a/tests/test_channel.py
+++ b/tests/test_channel.py
@@ -5,7 +5,12 @@
 from typing import Any
 
 from micahold.counters import Counters
-from micahold.transport.channel import LASTED_S, LONGEST_PAUSE_S, SILENCE_S, CommandChannel
+from micahold.transport.channel import (
+    MAX_RECONNECT_DELAY_S,
+    SILENCE_TIMEOUT_S,
+    STABLE_CONNECTION_S,
+    CommandChannel,
+)
 from tests.network import Network
 
 HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n"
@@ -55,7 +60,7 @@
     world = Channel()
     link = world.links[0].up()
     link.say(HEAD + event(9))
-    world.turn(LASTED_S)
+    world.turn(STABLE_CONNECTION_S)
     link.lose()
     world.turn()
     assert b"\r\nLast-Event-ID: 9\r\n" in world.links[1].up().transport.sent()
@@ -66,10 +71,10 @@
     link = world.links[0].up()
     link.say(HEAD)
     for _ in range(5):
-        world.turn(SILENCE_S / 2)
+        world.turn(SILENCE_TIMEOUT_S / 2)
         link.say(b": still here\n\n")
     assert not link.transport.aborted
-    world.turn(SILENCE_S)
+    world.turn(SILENCE_TIMEOUT_S)
     assert link.transport.aborted
     assert world.logged == ["channel_silent"]
 
@@ -83,7 +88,7 @@
                 link.protocol = object()
                 link.refuse()
         world.turn(step)
-    assert seconds / LONGEST_PAUSE_S * 0.8 < len(world.links) < seconds / LONGEST_PAUSE_S + 10
+    assert seconds / MAX_RECONNECT_DELAY_S * 0.8 < len(world.links) < seconds / MAX_RECONNECT_DELAY_S + 10
 
 
 def test_what_is_no_stream_is_logged_and_tried_again() -> None:
@@ -111,7 +116,7 @@
     world = Channel()
     old = world.links[0].up()
     old.say(HEAD + event(4))
-    world.channel.move(("127.0.0.1", 7071))
+    world.channel.change_address(("127.0.0.1", 7071))
     new = world.links[1].up()
     assert new.address == ("127.0.0.1", 7071)
     sent = new.transport.sent()
@@ -121,11 +126,11 @@
     assert world.told == [b"e4"]
     old.lose()
     new.say(HEAD + event(5))
-    world.turn(LONGEST_PAUSE_S)
+    world.turn(MAX_RECONNECT_DELAY_S)
     assert world.told == [b"e4", b"e5"]
     assert len(world.links) == 2
     new.lose()
-    world.turn(LONGEST_PAUSE_S)
+    world.turn(MAX_RECONNECT_DELAY_S)
     assert world.links[2].address == ("127.0.0.1", 7071)
 
 
@@ -134,9 +139,9 @@
     world.links[0].up().lose()
     world.turn()
     world.links[1].up().lose()  # the next waits for its pause now
-    world.channel.move(("127.0.0.1", 7071))
-    world.channel.move(("127.0.0.1", 7071))
-    world.turn(LONGEST_PAUSE_S)
+    world.channel.change_address(("127.0.0.1", 7071))
+    world.channel.change_address(("127.0.0.1", 7071))
+    world.turn(MAX_RECONNECT_DELAY_S)
     assert [link.address[1] for link in world.links] == [7070, 7070, 7071]
 
 
@@ -144,7 +149,7 @@
     world = Channel()
     world.links[0].refuse()
     world.turn()
-    world.channel.move(("127.0.0.1", 7071))
+    world.channel.change_address(("127.0.0.1", 7071))
     assert world.clock.connectors[-1].stoppedConnecting
     world.links[1].refuse()
     world.turn()
@@ -157,7 +162,7 @@
     link.say(HEAD + b"id: 4\ndata: spoilt?\n\n" + event(5))
     assert link.transport.aborted
     link.lose()
-    world.turn(LONGEST_PAUSE_S)
+    world.turn(MAX_RECONNECT_DELAY_S)
     link = world.links[1].up()
     assert b"\r\nLast-Event-ID: 3\r\n" in link.transport.sent()
     link.say(HEAD + b"id: 4\ndata: spoilt?\n\n" + event(5))
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -14,18 +14,18 @@
 from micahold.protocol.mysql_results import ResultRows
 from micahold.protocol.query_fields import ClientQuery
 from micahold.transport.clients import (
-    IDLE_S,
-    LARGEST_PACKET,
-    LAST_BYTES_S,
-    MOST_AHEAD,
-    MOST_UNUSABLE,
-    NEW_S,
-    PACKET_S,
-    SWEEP_S,
+    CLOSE_TIMEOUT_S,
+    IDLE_TIMEOUT_S,
+    MAX_PACKET_BYTES,
+    MAX_SESSION_BUFFER_BYTES,
+    MAX_UNUSABLE_QUERIES,
+    MIN_EVICTION_AGE_S,
+    PACKET_TIMEOUT_S,
+    SWEEP_INTERVAL_S,
     ClientSession,
     ClientSessions,
-    Reply,
-    Unusable,
+    QueryReply,
+    UnusableQueryError,
 )
 from tests import mysql_client
 from tests.mysql_client import ask, command, login, packets, query, read_result
@@ -37,13 +37,13 @@
 
     def __init__(self) -> None:
         self.taken: list[ClientQuery] = []
-        self.replies: list[Reply] = []
+        self.replies: list[QueryReply] = []
         self.dropped: list[int] = []
         self.waited: list[float] = []
         self.unread = 0.0
         self.error: Exception | None = None
 
-    def take(self, one: ClientQuery, reply: Reply, waited: float) -> int:
+    def submit(self, one: ClientQuery, reply: QueryReply, waited: float) -> int:
         if self.error is not None:
             raise self.error
         self.taken.append(one)
@@ -111,7 +111,7 @@
     world = Clients()
     session, transport = world.logged_in()
     session.dataReceived(ask())
-    world.taker.replies[0].serve(rows(b"a\t\xff\tNULL\n"))
+    world.taker.replies[0].send_result(rows(b"a\t\xff\tNULL\n"))
     assert read_result(transport.sent()) == [(b"a", b"\xff", b"NULL")]
 
 
@@ -138,7 +138,7 @@
     session, transport = world.logged_in()
     session.dataReceived(ask(1) + ask(2))
     assert len(world.taker.taken) == 1
-    world.taker.replies[0].serve(rows(b""))
+    world.taker.replies[0].send_result(rows(b""))
     world.clock.advance(0)
     assert [one.id for one in world.taker.taken] == [b"%016x" % 1, b"%016x" % 2]
     assert len(read_result(transport.sent())) == 0
@@ -191,7 +191,7 @@
 def test_a_query_that_cannot_be_taken_is_an_error_at_once() -> None:
     world = Clients()
     session, transport = world.logged_in()
-    world.taker.error = Unusable("unknown class")
+    world.taker.error = UnusableQueryError("unknown class")
     session.dataReceived(ask())
     assert error_of(transport.sent()).code == 1105
 
@@ -212,7 +212,7 @@
 def test_an_oversized_packet_ends_that_session_and_drops_its_query() -> None:
     world = Clients()
     session, transport = world.logged_in()
-    session.dataReceived((LARGEST_PACKET + 1).to_bytes(3, "little") + b"\0")
+    session.dataReceived((MAX_PACKET_BYTES + 1).to_bytes(3, "little") + b"\0")
     assert error_of(transport.sent()).code == 1153
     assert transport.disconnecting
 
@@ -221,7 +221,7 @@
     world = Clients()
     session, transport = world.logged_in()
     session.dataReceived(ask())
-    for _ in range(MOST_AHEAD // 10_000 + 2):
+    for _ in range(MAX_SESSION_BUFFER_BYTES // 10_000 + 2):
         session.dataReceived(bytes(10_000))
     assert transport.disconnecting
     assert world.taker.dropped == [1]
@@ -274,7 +274,7 @@
     session.dataReceived(ask())
     session.connectionLost(Failure(error.ConnectionLost()))
     assert world.taker.dropped == [1]
-    world.taker.replies[0].serve(rows(b""))
+    world.taker.replies[0].send_result(rows(b""))
     assert transport.sent() == b""
     assert len(world.sessions) == 0
 
@@ -299,8 +299,8 @@
 
 
 def pass_time(world: Clients, seconds: float) -> None:
-    for _ in range(round(seconds / SWEEP_S)):
-        world.clock.advance(SWEEP_S)
+    for _ in range(round(seconds / SWEEP_INTERVAL_S)):
+        world.clock.advance(SWEEP_INTERVAL_S)
 
 
 def swept(**options: Any) -> Clients:
@@ -325,9 +325,9 @@
     world = swept()
     session, transport = world.logged_in()
     session.dataReceived(command(0x0E))
-    for byte in ask()[: round(PACKET_S / SWEEP_S) + 2]:
+    for byte in ask()[: round(PACKET_TIMEOUT_S / SWEEP_INTERVAL_S) + 2]:
         session.dataReceived(bytes((byte,)))
-        world.clock.advance(SWEEP_S)
+        world.clock.advance(SWEEP_INTERVAL_S)
     assert transport.disconnecting
 
 
@@ -335,10 +335,10 @@
     world = swept()
     session, transport = world.logged_in()
     session.dataReceived(ask())
-    pass_time(world, 4 * IDLE_S)
+    pass_time(world, 4 * IDLE_TIMEOUT_S)
     assert not transport.disconnecting
-    world.taker.replies[0].serve(rows(b""))
-    pass_time(world, IDLE_S - 0.5)
+    world.taker.replies[0].send_result(rows(b""))
+    pass_time(world, IDLE_TIMEOUT_S - 0.5)
     assert not transport.disconnecting
     pass_time(world, 1.0)
     assert transport.disconnecting
@@ -350,7 +350,7 @@
     session, transport = world.logged_in()
     session.dataReceived(command(0x01))
     assert transport.disconnecting and not transport.aborted
-    pass_time(world, LAST_BYTES_S + SWEEP_S)
+    pass_time(world, CLOSE_TIMEOUT_S + SWEEP_INTERVAL_S)
     assert transport.aborted
 
 
@@ -360,9 +360,9 @@
     asking.dataReceived(ask(1))
     idle, idle_transport = world.logged_in()
     idle.dataReceived(command(0x0E))
-    world.clock.advance(NEW_S)
+    world.clock.advance(MIN_EVICTION_AGE_S)
     _, silent_transport = world.connect()
-    world.clock.advance(NEW_S)
+    world.clock.advance(MIN_EVICTION_AGE_S)
     for transport in (silent_transport, idle_transport):
         fresh, fresh_transport = world.logged_in()
         assert transport.disconnecting and not fresh_transport.disconnecting
@@ -380,28 +380,28 @@
         session, transport = world.logged_in()
         session.dataReceived((30_000).to_bytes(3, "little") + b"\0" + bytes(20_000))
         ends.append(transport.disconnecting)
-        assert world.sessions.kept <= 100_000
+        assert world.sessions.buffered_bytes <= 100_000
     assert ends == [False] * 4 + [True] * 16
     pass_time(world, 3.0)
-    assert world.sessions.kept == 0
+    assert world.sessions.buffered_bytes == 0
 
 
 def test_kept_bytes_are_no_longer_counted_once_a_client_is_gone() -> None:
     world = swept()
     session, _ = world.logged_in()
     session.dataReceived(ask()[:20])
-    assert world.sessions.kept == 20
+    assert world.sessions.buffered_bytes == 20
     session.connectionLost(Failure(error.ConnectionLost()))
-    assert world.sessions.kept == 0
+    assert world.sessions.buffered_bytes == 0
 
 
 def test_a_session_with_nothing_but_queries_that_cannot_be_used_ends() -> None:
     world = swept()
     session, transport = world.logged_in()
     session.dataReceived(query(b"SELECT 1") * 100)
-    assert len(packets(transport.sent())) == MOST_UNUSABLE
+    assert len(packets(transport.sent())) == MAX_UNUSABLE_QUERIES
     assert transport.disconnecting
-    assert world.counters.values["queries_unusable"] == MOST_UNUSABLE
+    assert world.counters.values["queries_unusable"] == MAX_UNUSABLE_QUERIES
 
 
 @pytest.mark.parametrize("number", [1, 7])
--- a/tests/test_engine_calls.py
+++ b/tests/test_engine_calls.py
@@ -8,15 +8,15 @@
 from twisted.python.failure import Failure
 
 from micahold.transport.calls import (
-    ANSWER_S,
-    GRACE_S,
-    REST_S,
-    CallFailed,
-    ConnectFailed,
-    ConnectionBroken,
-    EnginePools,
-    NotSent,
-    Unreadable,
+    LATE_READ_GRACE_S,
+    RESPONSE_TIMEOUT_S,
+    REUSE_DELAY_S,
+    CallError,
+    CallNotSentError,
+    ConnectError,
+    ConnectionBrokenError,
+    EngineConnectionPools,
+    UnreadableResponseError,
 )
 from tests.network import EngineSide, answer, news
 
@@ -28,14 +28,14 @@
         super().__init__(most)
         self.brought: dict[str, Any] = {}
 
-    def call(self, name: str, engine: str = "a", due: float = 0.0, **options: Any) -> Any:
-        call = self.pools.call(engine, name.encode(), due, **options)
-        call.result.addCallback(lambda got: self.brought.__setitem__(name, got.status))
+    def call(self, name: str, engine: str = "a", due_at: float = 0.0, **options: Any) -> Any:
+        call = self.pools.call(engine, name.encode(), due_at, **options)
+        call.response.addCallback(lambda got: self.brought.__setitem__(name, got.status))
 
         def failed(failure: Failure) -> None:
             self.brought[name] = failure.type
 
-        call.result.addErrback(failed)
+        call.response.addErrback(failed)
         return call
 
 
@@ -45,7 +45,7 @@
     link = world.links[0].up()
     assert link.transport.sent() == b"one"
     link.say(answer())
-    world.turn(REST_S)
+    world.turn(REUSE_DELAY_S)
     world.call("two")
     assert link.transport.sent() == b"two"
     world.call("other", engine="b")
@@ -64,10 +64,10 @@
     assert link.transport.aborted
     world.links[1].up().say(answer(204))
     assert world.brought == {"one": 200, "two": 204}
-    world.turn(REST_S)
-    world.call("page", tells_itself=True)
+    world.turn(REUSE_DELAY_S)
+    world.call("page", self_identifying=True)
     world.links[1].say(answer(200))
-    world.call("three", tells_itself=True)
+    world.call("three", self_identifying=True)
     assert len(world.links) == 2
 
 
@@ -78,7 +78,7 @@
     link.say(answer() + b"noise")
     assert world.brought == {"one": 200}
     assert link.transport.aborted
-    assert world.pools.open == 0
+    assert world.pools.open_connections == 0
 
 
 @pytest.mark.parametrize("part", [b"", b"HTTP/1.1 200 OK\r\nContent-Le", answer(200, b"body")[:-1]])
@@ -87,13 +87,13 @@
     world.call("one")
     link = world.links[0].up()
     link.say(part)
-    world.turn(ANSWER_S - 0.01)
+    world.turn(RESPONSE_TIMEOUT_S - 0.01)
     assert not world.brought
     world.turn(0.02)
-    world.turn(GRACE_S)
-    assert world.brought == {"one": ConnectionBroken}
+    world.turn(LATE_READ_GRACE_S)
+    assert world.brought == {"one": ConnectionBrokenError}
     assert link.transport.aborted
-    assert world.pools.open == 0
+    assert world.pools.open_connections == 0
 
 
 def test_an_answer_that_a_late_loop_has_not_read_yet_is_waited_for() -> None:
@@ -101,9 +101,9 @@
     world = Caller()
     world.call("one")
     link = world.links[0].up()
-    world.turn(5 * ANSWER_S)
+    world.turn(5 * RESPONSE_TIMEOUT_S)
     link.say(answer())
-    world.turn(GRACE_S)
+    world.turn(LATE_READ_GRACE_S)
     assert world.brought == {"one": 200}
 
 
@@ -119,9 +119,14 @@
 
 @pytest.mark.parametrize(
     ("happens", "error"),
-    [("refuse", ConnectFailed), ("time_out", ConnectFailed), ("lose", ConnectionBroken), ("say", Unreadable)],
+    [
+        ("refuse", ConnectError),
+        ("time_out", ConnectError),
+        ("lose", ConnectionBrokenError),
+        ("say", UnreadableResponseError),
+    ],
 )
-def test_what_brings_no_answer_is_told_apart(happens: str, error: type[CallFailed]) -> None:
+def test_what_brings_no_answer_is_told_apart(happens: str, error: type[CallError]) -> None:
     world = Caller()
     world.call("one")
     link = world.links[0]
@@ -129,7 +134,7 @@
         link.up()
     getattr(link, happens)(*([b"no HTTP at all\r\n\r\n"] if happens == "say" else []))
     assert world.brought == {"one": error}
-    assert world.pools.open == 0
+    assert world.pools.open_connections == 0
 
 
 def test_the_connect_time_out_is_the_one_of_the_settings() -> None:
@@ -140,15 +145,15 @@
 
 def test_calls_beyond_the_bound_wait_and_the_one_due_first_goes_first() -> None:
     world = Caller(most=1)
-    world.call("one", due=1.0)
-    world.call("late", due=9.0)
-    world.call("soon", due=2.0)
+    world.call("one", due_at=1.0)
+    world.call("late", due_at=9.0)
+    world.call("soon", due_at=2.0)
     assert len(world.links) == 1
     world.links[0].up().say(answer())
     assert world.links[1].up().transport.sent() == b"soon"
     world.links[1].say(answer())
     assert world.links[2].up().transport.sent() == b"late"
-    assert world.pools.open == 1
+    assert world.pools.open_connections == 1
 
 
 def test_an_idle_connection_makes_room_for_another_engine() -> None:
@@ -159,7 +164,7 @@
     world.call("other", engine="b")
     assert link.transport.aborted
     assert len(world.links) == 2
-    assert world.pools.open == 1
+    assert world.pools.open_connections == 1
 
 
 def test_a_call_that_waits_goes_once_a_connection_is_lost() -> None:
@@ -168,7 +173,7 @@
     world.call("two")
     world.links[0].up().lose()
     world.turn()
-    assert world.brought == {"one": ConnectionBroken}
+    assert world.brought == {"one": ConnectionBrokenError}
     assert world.links[1].up().transport.sent() == b"two"
 
 
@@ -189,7 +194,7 @@
     link = world.links[0].up()
     call.abandon()
     link.say(answer())
-    world.turn(ANSWER_S * 2)
+    world.turn(RESPONSE_TIMEOUT_S * 2)
     assert world.brought == {}
     assert not link.transport.aborted
     link.transport.clear()
@@ -202,20 +207,20 @@
     call = world.call("one")
     link = world.links[0].up()
     call.abandon()
-    world.turn(ANSWER_S)
-    world.turn(GRACE_S)
+    world.turn(RESPONSE_TIMEOUT_S)
+    world.turn(LATE_READ_GRACE_S)
     assert link.transport.aborted
-    assert world.pools.open == 0
+    assert world.pools.open_connections == 0
 
 
 def test_the_list_is_looked_at_again_before_the_first_byte() -> None:
     world = Caller()
-    world.call("one", wanted=lambda: world.directory.takes_work("a"))
+    world.call("one", should_send=lambda: world.directory.accepts_queries("a"))
     world.directory.update(news(2, full=False, a="draining"))
     link = world.links[0].up()
     world.turn()
     assert link.transport.sent() == b""
-    assert world.brought == {"one": NotSent}
+    assert world.brought == {"one": CallNotSentError}
 
 
 def test_nothing_is_sent_to_an_engine_that_has_gone_since_its_address_may_be_anothers() -> None:
@@ -228,7 +233,7 @@
     assert link.transport.aborted
     world.call("two")
     world.turn()
-    assert world.brought["two"] is NotSent
+    assert world.brought["two"] is CallNotSentError
     assert len(world.links) == 1
 
 
@@ -265,7 +270,7 @@
     for _ in range(9):
         world.turn(1.0)
     assert link.transport.aborted
-    assert world.pools.open == 0
+    assert world.pools.open_connections == 0
 
 
 def test_an_idle_connection_that_speaks_is_dropped() -> None:
@@ -280,12 +285,12 @@
 def test_a_written_call_holds_nothing_of_its_caller() -> None:
     """Else each attempt is a cycle, and only the collector, which stalls all, could free it."""
     world = Caller()
-    call = world.call("one", wanted=lambda: True)
+    call = world.call("one", should_send=lambda: True)
     world.links[0].up()
-    assert call.wanted is None
+    assert call.should_send is None
 
 
 def test_pools_without_an_idle_limit_need_no_sweep() -> None:
     side = EngineSide()
-    pools = EnginePools(side.clock, side.directory, side.counters, 1, 0.25, idle_close=0.0)
+    pools = EngineConnectionPools(side.clock, side.directory, side.counters, 1, 0.25, engine_idle_timeout=0.0)
     assert pools.call("a", b"x", 0.0) is not None
--- a/tests/test_exchange.py
+++ b/tests/test_exchange.py
@@ -10,7 +10,7 @@
 from micahold import interface as api
 from micahold.protocol.query_fields import ClientQuery, parse_query
 from micahold.routing.exchange import Exchange
-from micahold.transport.clients import Unusable
+from micahold.transport.clients import UnusableQueryError
 from tests import build
 from tests.network import PAGE, EngineSide, answer, news
 
@@ -39,7 +39,7 @@
     def __init__(self) -> None:
         self.answers: list[tuple[str, Any]] = []
 
-    def serve(self, result: bytes) -> None:
+    def send_result(self, result: bytes) -> None:
         self.answers.append(("served", result))
 
     def refuse(self, retry_after: float) -> None:
@@ -93,7 +93,7 @@
 
     def ask(self, number: int = 1, **changes: str) -> tuple[int, Client]:
         client = Client()
-        ticket = self.exchange.take(query(number, **changes), client)
+        ticket = self.exchange.submit(query(number, **changes), client)
         self.turn()
         return ticket, client
 
@@ -127,7 +127,7 @@
 def test_all_that_happens_in_a_turn_is_one_batch() -> None:
     world = World()
     for number in range(3):
-        world.exchange.take(query(number), Client())
+        world.exchange.submit(query(number), Client())
     world.turn()
     assert [len(batch) for batch in world.decisions.batches] == [1, 3]
 
@@ -137,8 +137,8 @@
 )
 def test_what_cannot_be_taken_reaches_neither_decisions_nor_engines(changes: dict[str, str]) -> None:
     world = World()
-    with pytest.raises(Unusable):
-        world.exchange.take(query(1, **changes), Client())
+    with pytest.raises(UnusableQueryError):
+        world.exchange.submit(query(1, **changes), Client())
     world.turn()
     assert len(world.decisions.batches) == 1
     assert world.exchange.unanswered == 0
@@ -147,10 +147,10 @@
 def test_an_id_that_is_open_already_cannot_be_taken_and_can_be_once_it_is_answered() -> None:
     world = World()
     ticket, _ = world.ask()
-    with pytest.raises(Unusable):
-        world.exchange.take(query(), Client())
+    with pytest.raises(UnusableQueryError):
+        world.exchange.submit(query(), Client())
     world.want(api.Fail(ticket))
-    world.exchange.take(query(), Client())
+    world.exchange.submit(query(), Client())
 
 
 def test_a_good_answer_goes_to_the_client_and_settles_the_query() -> None:
@@ -269,13 +269,13 @@
 
 def test_the_wait_counts_from_when_the_query_may_have_come() -> None:
     world = World()
-    world.exchange.take(query(), Client(), waited=0.25)
+    world.exchange.submit(query(), Client(), waited=0.25)
     world.turn()
     event = world.last()
     assert isinstance(event, api.QueryArrived)
     assert event.deadline == 1.75
-    with pytest.raises(Unusable):
-        world.exchange.take(query(2), Client(), waited=2.0)
+    with pytest.raises(UnusableQueryError):
+        world.exchange.submit(query(2), Client(), waited=2.0)
 
 
 def test_the_deadline_told_is_one_that_a_late_front_can_keep() -> None:
@@ -365,9 +365,9 @@
 def test_a_wait_far_beyond_its_class_can_not_be_used() -> None:
     world = World()
     for wait in ("10001", "999999999999"):  # the deadline of the class is 5 s
-        with pytest.raises(Unusable):
-            world.exchange.take(query(1, wait=wait), Client())
-    world.exchange.take(query(1, wait="10000"), Client())
+        with pytest.raises(UnusableQueryError):
+            world.exchange.submit(query(1, wait=wait), Client())
+    world.exchange.submit(query(1, wait="10000"), Client())
 
 
 def test_an_id_is_taken_for_as_long_as_an_attempt_with_it_may_be_out() -> None:
@@ -377,10 +377,10 @@
     world.want(api.Send(ticket, "a"))
     link = world.links[0].up()
     world.want(api.Refuse(ticket))
-    with pytest.raises(Unusable):
-        world.exchange.take(query(1), Client())
+    with pytest.raises(UnusableQueryError):
+        world.exchange.submit(query(1), Client())
     link.say(answer(500))
-    world.exchange.take(query(1), Client())
+    world.exchange.submit(query(1), Client())
 
 
 def test_nothing_is_kept_of_engines_that_have_gone_nor_of_queries_that_are_over() -> None:
@@ -411,8 +411,8 @@
     assert len(world.directory) == 2
     assert not world.exchange.queries and not world.exchange._ids
     assert set(world.exchange._entries) == {"a", "b"}
-    assert not world.pools._idle and not world.pools._up and not world.pools.line
-    assert world.pools.open == 0
+    assert not world.pools._idle and not world.pools._established and not world.pools.waiting_calls
+    assert world.pools.open_connections == 0
 
 
 def test_when_the_program_ends_deadlines_are_drawn_in_and_the_decisions_told() -> None:
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -18,7 +18,7 @@
 from micahold.program.front import FLUSH_S, NOTICE_S, Front, Phase, listen_error
 from micahold.program.log import MOST_KEPT, Log
 from micahold.settings import FormatError
-from micahold.transport.timers import MOST_DEAD, Timers
+from micahold.transport.timers import MAX_CANCELLED_TIMERS, TimerQueue
 from tests.mysql_client import ask, login, packets
 from tests.network import Network, Transport
 from tests.standins import configuration
@@ -101,9 +101,9 @@
 
 def test_timers_fire_in_turn_and_never_early_and_cancelled_ones_not_at_all() -> None:
     clock, fired = MemoryReactorClock(), list[str]()
-    timers = Timers(clock)
+    timers = TimerQueue(clock)
     for name, delay in (("c", 3.0), ("a", 1.0), ("b", 2.0), ("x", 1.5)):
-        timer = timers.after(delay, fired.append, name)
+        timer = timers.call_later(delay, fired.append, name)
     timer.cancel()
     timer.cancel()
     assert not timer.active()
@@ -116,21 +116,21 @@
 
 def test_cancelled_timers_do_not_pile_up() -> None:
     clock, fired = MemoryReactorClock(), list[int]()
-    timers = Timers(clock)
-    for number in range(MOST_DEAD * 3):
-        timers.after(100.0, fired.append, number).cancel()
-    timers.after(1.0, fired.append, -1)
+    timers = TimerQueue(clock)
+    for number in range(MAX_CANCELLED_TIMERS * 3):
+        timers.call_later(100.0, fired.append, number).cancel()
+    timers.call_later(1.0, fired.append, -1)
     clock.advance(1.0)
-    assert timers.dead < MOST_DEAD
+    assert timers.cancelled < MAX_CANCELLED_TIMERS
     clock.advance(200.0)
     assert fired == [-1]
 
 
 def test_a_timer_that_fails_does_not_stop_the_others() -> None:
     clock, fired = MemoryReactorClock(), list[str]()
-    timers = Timers(clock)
-    timers.after(1.0, lambda: fired.append(str(1 // 0)))
-    timers.after(1.0, fired.append, "after")
+    timers = TimerQueue(clock)
+    timers.call_later(1.0, lambda: fired.append(str(1 // 0)))
+    timers.call_later(1.0, fired.append, "after")
     with pytest.raises(ZeroDivisionError):
         clock.advance(1.0)
     clock.advance(0.0)
