--- a/micahold/laboratory/gossip_network.py
+++ b/micahold/laboratory/gossip_network.py
@@ -16,8 +16,8 @@
 from typing import Any
 
 from micahold.membership.group import Address, Datagram, Group, Options
-from micahold.membership.keyring import Checker, Keyring, PublicKey, Signer
-from micahold.membership.roster import Change, Status
+from micahold.membership.keyring import Keyring, PublicKey, Signer, Verifier
+from micahold.membership.member_list import Status, StatusChange
 
 START = 1_700_000_000.0  # Unix time at which the virtual clock begins
 
@@ -34,10 +34,10 @@
         return self.key, blake2b(data, key=self.secret, digest_size=64).digest() if data else b""
 
 
-class QuickChecker:
+class QuickVerifier:
     """Checks what ``QuickHand`` signs; the "public" key is the secret."""
 
-    def check(self, public: bytes, data: bytes, signature: bytes) -> bool:
+    def verify(self, public: bytes, data: bytes, signature: bytes) -> bool:
         return blake2b(data, key=public, digest_size=64).digest() == signature
 
 
@@ -49,7 +49,7 @@
     """The public keys of these members, all valid always."""
     kept = list(keys)
     return Keyring(
-        [PublicKey(one, key, secret_of(one, key)) for one in names for key in kept], QuickChecker()
+        [PublicKey(one, key, secret_of(one, key)) for one in names for key in kept], QuickVerifier()
     )
 
 
@@ -68,7 +68,7 @@
     up: bool = True
     life: int = 0
     inbox: int = 0
-    news: list[tuple[float, Change]] = field(default_factory=list)
+    news: list[tuple[float, StatusChange]] = field(default_factory=list)
     seconds: Counter[int] = field(default_factory=Counter)  # bytes out by second
 
 
@@ -84,7 +84,7 @@
         delay: tuple[float, float] = (0.0005, 0.003),
         loss: float = 0.0,
         duplicates: float = 0.0,
-        checker: Checker | None = None,
+        verifier: Verifier | None = None,
     ) -> None:
         self.random = Random(seed)
         self.delay, self.loss, self.duplicates = delay, loss, duplicates
@@ -149,10 +149,10 @@
         for node in nodes:
             for signed, record in records:
                 if signed.origin != node.name:
-                    node.group.roster.learn(self.now, signed, record)
-            node.group.rumours.kept.clear()
-            for member in node.group.roster:
-                member.heard = self.now
+                    node.group.member_list.apply_record(self.now, signed, record)
+            node.group.dissemination.statements.clear()
+            for member in node.group.member_list:
+                member.last_heard = self.now
             node.group._seed_at += 60.0
 
     def kill(self, name: str) -> None:
@@ -286,7 +286,7 @@
         return [one for one in self.nodes.values() if one.up]
 
     def status(self, viewer: str, name: str) -> Status | None:
-        member = self.nodes[viewer].group.roster.members.get(name)
+        member = self.nodes[viewer].group.member_list.members.get(name)
         return member.status if member is not None else None
 
     def agree(self) -> bool:
--- a/micahold/laboratory/gossip_trial.py
+++ b/micahold/laboratory/gossip_trial.py
@@ -17,8 +17,8 @@
 from micahold.laboratory.gossip_network import Network, Node
 from micahold.laboratory.hearsay_model import HEARSAY, RULES_COMPARED, Fleet
 from micahold.membership.keyring import Keyring
-from micahold.membership.roster import Status
-from micahold.membership.signing import Ed25519Checker, Hand, make_key
+from micahold.membership.member_list import Status
+from micahold.membership.signing import Ed25519Verifier, Hand, make_key
 
 REST_S = 10.0
 
@@ -63,7 +63,7 @@
         up -= 1
 
         def knows(node: Node, wanted: tuple[Status, ...], victim: str = victim) -> bool:
-            member = node.group.roster.members.get(victim)
+            member = node.group.member_list.members.get(victim)
             return member is not None and member.status in wanted
 
         suspect, dead = (Status.SUSPECT, Status.DEAD), (Status.DEAD,)
@@ -285,7 +285,7 @@
     names = [f"m{one}" for one in range(members)]
     keys = {name: make_key("k1") for name in names}
     net = Network(seed=seed)
-    ring = Keyring([keys[name].public(name) for name in names], Ed25519Checker())
+    ring = Keyring([keys[name].public(name) for name in names], Ed25519Verifier())
     for name in names:
         net.add(name, ring, [("10.0.0.0", 7946)], signer=Hand([keys[name]]))
     net.run(REST_S)
--- a/micahold/laboratory/hearsay_model.py
+++ b/micahold/laboratory/hearsay_model.py
@@ -13,8 +13,8 @@
 from micahold import interface as api
 from micahold.controller import Controller
 from micahold.laboratory.gossip_network import GroupMaker, Network, Node
-from micahold.membership.bridge import Bridge
-from micahold.membership.evidence import Word, word
+from micahold.membership.controller_adapter import ControllerAdapter
+from micahold.membership.failure_reports import Assessment, assess
 from micahold.membership.group import Group
 
 SERVICE_S, ERROR_S = 0.02, 0.001
@@ -61,7 +61,7 @@
             rules=RULES,
         )
         self.controller = Controller(settings, fleet.seed * 100 + number)
-        self.bridge = Bridge(node.group, fleet.rule == HEARSAY)
+        self.adapter = ControllerAdapter(node.group, fleet.rule == HEARSAY)
         self.random = Random(fleet.seed * 1000 + number)
         self.asked = 0
 
@@ -72,7 +72,7 @@
     def tell(self, *events: api.Event) -> None:
         """Events to the decisions, and their actions carried out."""
         for event in events:
-            self.bridge.event(self.now, event)
+            self.adapter.handle_event(self.now, event)
         for action in self.controller.handle(self.now, list(events)):
             match action:
                 case api.Send(query, engine):
@@ -114,18 +114,18 @@
         """What the group knows by now, to the decisions."""
         if self.fleet.rule == ANY_PEER:
             self._believe_any_peer()
-        events = self.bridge.events(self.now)
+        events = self.adapter.take_events(self.now)
         if events:
             self.tell(*events)
         self.fleet.net.at(self.now + TELL_S, self.tell_group)
 
     def _believe_any_peer(self) -> None:
         """The plain rule for comparison: what any member calls failing is put on trial at once."""
-        for voice in self.node.group.evidence.voices.values():
-            if voice.heard > self.now - 6.0:
+        for voice in self.node.group.failure_reports.reporters.values():
+            if voice.reported_at > self.now - 6.0:
                 for engine, attempts, failures in voice.rows:
                     view = self.controller.router.engines.get(engine)
-                    if view is not None and word(attempts, failures) is Word.BAD:
+                    if view is not None and assess(attempts, failures) is Assessment.BAD:
                         view.failing, view.faded, view.on_trial = 1.0, self.now, True
 
     def on_trial(self, engine: str) -> bool:
--- a/micahold/laboratory/liars.py
+++ b/micahold/laboratory/liars.py
@@ -3,9 +3,9 @@
 from __future__ import annotations
 
 from micahold.membership import wire
+from micahold.membership.dissemination import QueuedStatement
 from micahold.membership.group import Datagram, Group
-from micahold.membership.rumours import Rumour
-from micahold.membership.traffic import Level
+from micahold.membership.traffic import Priority
 from micahold.membership.wire import Kind
 
 FORGED_ATTEMPTS = 50
@@ -24,7 +24,7 @@
             self.testimonies += 1
             said = wire.Testimony(self.run, self.testimonies, int(now * 1000), 5000, rows)
             signed = self._sign(now, Kind.TESTIMONY, said)
-            self.rumours.add(("testimony", self.options.name), signed, Level.OWN)
+            self.dissemination.add(("testimony", self.options.name), signed, Priority.OWN)
 
 
 class Flatterer(Slanderer):
@@ -39,17 +39,17 @@
     def _testify(self, now: float) -> None:
         names = tuple(sorted(self.engines)[: wire.MOST_ROWS])
         signed = self._sign(now, Kind.DRAINS, wire.Drains(int(now * 1000), names))
-        self.rumours.add(("drains", self.options.name), signed, Level.OWN)
+        self.dissemination.add(("drains", self.options.name), signed, Priority.OWN)
 
 
 class Accuser(Group):
     """Accuses every member, each second."""
 
     def _testify(self, now: float) -> None:
-        for member in list(self.roster):
+        for member in list(self.member_list):
             said = wire.Accusation(member.name, member.record.incarnation, int(now * 1000))
             key = ("accusation", member.name, self.options.name, member.record.incarnation)
-            self.rumours.add(key, self._sign(now, Kind.ACCUSATION, said), Level.OWN)
+            self.dissemination.add(key, self._sign(now, Kind.ACCUSATION, said), Priority.OWN)
 
 
 class Equivocator(Slanderer):
@@ -78,7 +78,7 @@
 
     def _gossip(self, now: float) -> None:
         super()._gossip(now)
-        member = self.roster.members.get(self.victim)
+        member = self.member_list.members.get(self.victim)
         if member is not None:
             for _ in range(self.datagrams // 5):
                 data = self._packet_bytes(now, self.victim, (wire.Ping(1),), [self.own_record] * 6)
@@ -88,6 +88,6 @@
 class Withholder(Group):
     """Passes nothing on that others said."""
 
-    def _riders(self, now: float, level: Level, name: str, taken: int) -> list[Rumour]:
+    def _riders(self, now: float, level: Priority, name: str, taken: int) -> list[QueuedStatement]:
         own = self.options.name
         return [one for one in super()._riders(now, level, name, taken) if one.signed.origin == own]
--- a/micahold/membership/bridge.py
+++ b/micahold/membership/controller_adapter.py
@@ -10,49 +10,53 @@
 from micahold import interface as api
 from micahold.membership.group import Group, Verdict
 
-AGAIN_S = 1.0
-FAILURES = frozenset({api.Outcome.ERROR, api.Outcome.CONNECT_FAILED, api.Outcome.RESET, api.Outcome.TIMEOUT})
-SILENT = frozenset({api.Outcome.FULL, api.Outcome.CANCELLED, api.Outcome.MOOT})  # say nothing of the engine
+REPEAT_INTERVAL_S = 1.0
+FAILED_OUTCOMES = frozenset(
+    {api.Outcome.ERROR, api.Outcome.CONNECT_FAILED, api.Outcome.RESET, api.Outcome.TIMEOUT}
+)
+IGNORED_OUTCOMES = frozenset(
+    {api.Outcome.FULL, api.Outcome.CANCELLED, api.Outcome.MOOT}
+)  # say nothing of the engine
 
 
-class Bridge:
+class ControllerAdapter:
     """``hearsay`` False: the group is counted, and what it says of engines is kept from the decisions."""
 
-    def __init__(self, group: Group, hearsay: bool = True) -> None:
-        self.group, self.hearsay = group, hearsay
-        self.states: dict[str, api.EngineState] = {}
+    def __init__(self, group: Group, share_reports: bool = True) -> None:
+        self.group, self.share_reports = group, share_reports
+        self.engine_states: dict[str, api.EngineState] = {}
         self._told: Verdict | None = None
         self._told_at = 0.0
 
-    def event(self, now: float, event: api.Event) -> None:
+    def handle_event(self, now: float, event: api.Event) -> None:
         """What the exchange tells the decisions."""
         match event:
             case api.AttemptEnded(attempt=attempt, engine=engine, outcome=outcome):
                 # An error after others is the query's own, not the engine's: the decisions judge alike.
-                if outcome not in SILENT and not (outcome is api.Outcome.ERROR and attempt > 0):
-                    self.group.attempt_ended(now, engine, outcome in FAILURES)
+                if outcome not in IGNORED_OUTCOMES and not (outcome is api.Outcome.ERROR and attempt > 0):
+                    self.group.attempt_ended(now, engine, outcome in FAILED_OUTCOMES)
             case api.ListUpdate(kind=kind, entries=entries):
                 if kind is not api.ListKind.CHANGES and kind is not api.ListKind.UNAVAILABLE:
-                    self.states.clear()
+                    self.engine_states.clear()
                     self._told = None  # it may be a new controller, which knows nothing yet
                 for entry in entries:
                     if entry.state is api.EngineState.GONE:
-                        self.states.pop(entry.engine, None)
+                        self.engine_states.pop(entry.engine, None)
                     else:
-                        self.states[entry.engine] = entry.state
-                up = {one for one, state in self.states.items() if state is api.EngineState.UP}
-                self.group.listed(now, up, set(self.states) - up)
+                        self.engine_states[entry.engine] = entry.state
+                up = {one for one, state in self.engine_states.items() if state is api.EngineState.UP}
+                self.group.listed(now, up, set(self.engine_states) - up)
 
-    def events(self, now: float) -> list[api.Event]:
+    def take_events(self, now: float) -> list[api.Event]:
         """What the decisions should be told now."""
         verdict, told = self.group.verdict, self._told
         events: list[api.Event] = []
         if told is None or told.size != verdict.size:
-            events.append(api.GroupSize(verdict.size.bound, verdict.size.living))
-        if self.hearsay:
+            events.append(api.GroupSize(verdict.size.upper_bound, verdict.size.live))
+        if self.share_reports:
             said = (verdict.failing, verdict.draining)
             before = (told.failing, told.draining) if told is not None else (frozenset(), frozenset())
-            if said != before or (any(said) and now >= self._told_at + AGAIN_S):
+            if said != before or (any(said) and now >= self._told_at + REPEAT_INTERVAL_S):
                 events.append(api.Hearsay(*said, verdict.until))
                 self._told_at = now
         self._told = verdict
--- a/micahold/membership/evidence.py
+++ b/micahold/membership/failure_reports.py
@@ -24,39 +24,41 @@
 )  # of attempts that failed: a bad word from the one, a good word up to the other
 LEAST_ATTEMPTS, SURE_ATTEMPTS = 2, 3  # for a word at all; for own sight to outweigh
 VOICES_LEAST, VOICES_MOST = 3, 7
-OLD_S, HALF_S = 6.0, 3.0  # a testimony counts no more; its weight halves
+MAX_REPORT_AGE_S, HALF_S = 6.0, 3.0  # a testimony counts no more; its weight halves
 LEAST_WEIGHT = 0.25
 CREDIT_LOSS, CREDIT_GAIN_S, CREDIT_LEAST = 0.7, 0.01, 0.5  # kept at a contradiction; a second; to be heard
 MOST_PART = 1 / 4  # of the engines listed, one at least
 KEPT_SEQUENCES = 4  # of one origin, to tell a lie by
 
 
-class Word(Enum):
+class Assessment(Enum):
     BAD = "bad"
     GOOD = "good"
     NONE = "none"
 
 
-def word(attempts: int, failures: int) -> Word:
+def assess(attempts: int, failures: int) -> Assessment:
     """What so many failures of so many attempts say."""
     if attempts < LEAST_ATTEMPTS or failures > attempts:
-        return Word.NONE
+        return Assessment.NONE
     share = failures / attempts
-    return Word.BAD if share >= BAD_SHARE else Word.GOOD if share <= GOOD_SHARE else Word.NONE
+    return (
+        Assessment.BAD if share >= BAD_SHARE else Assessment.GOOD if share <= GOOD_SHARE else Assessment.NONE
+    )
 
 
-def quorum(living: int) -> int:
+def quorum(live_members: int) -> int:
     """Members of like word that are needed: more than a third of a small group, a few of a large one."""
-    return max(VOICES_LEAST, min(VOICES_MOST, living // 3 + 1))
+    return max(VOICES_LEAST, min(VOICES_MOST, live_members // 3 + 1))
 
 
-class Sight:
+class LocalObservations:
     """Own attempts of the last seconds, by engine; engines that are no longer listed are dropped."""
 
     def __init__(self) -> None:
         self.engines: dict[str, deque[list[int]]] = {}
 
-    def note(self, now: float, engine: str, failed: bool) -> None:
+    def record_attempt(self, now: float, engine: str, failed: bool) -> None:
         second = int(now)
         seen = self.engines.setdefault(engine, deque(maxlen=WINDOW_S + 1))
         if not seen or seen[-1][0] != second:
@@ -69,15 +71,15 @@
         recent = [one for one in self.engines.get(engine, ()) if one[0] > now - WINDOW_S - 1]
         return sum(one[1] for one in recent), sum(one[2] for one in recent)
 
-    def says(self, now: float, engine: str) -> Word:
-        return word(*self.counts(now, engine))
+    def assessment(self, now: float, engine: str) -> Assessment:
+        return assess(*self.counts(now, engine))
 
-    def sure(self, now: float, engine: str) -> Word:
+    def confident_assessment(self, now: float, engine: str) -> Assessment:
         """The word that outweighs hearsay: from more attempts than any word at all."""
         attempts, failures = self.counts(now, engine)
-        return word(attempts, failures) if attempts >= SURE_ATTEMPTS else Word.NONE
+        return assess(attempts, failures) if attempts >= SURE_ATTEMPTS else Assessment.NONE
 
-    def keep_only(self, now: float, engines: set[str]) -> None:
+    def retain(self, now: float, engines: set[str]) -> None:
         self.engines = {
             one: seen
             for one, seen in self.engines.items()
@@ -86,88 +88,92 @@
 
 
 @dataclass(slots=True)
-class Voice:
+class Reporter:
     """One member's latest testimony and how far it is believed."""
 
-    credit: float = 1.0
+    credibility: float = 1.0
     at: float = 0.0  # when the credit was last worked out
-    heard: float = -1e9  # when its latest testimony was made, by our clock
+    reported_at: float = -1e9  # when its latest testimony was made, by our clock
     run: int = 0
     sequence: int = -1
     rows: tuple[Row, ...] = ()
-    before: deque[tuple[int, int, Signed]] = field(default_factory=lambda: deque(maxlen=KEPT_SEQUENCES))
+    recent_statements: deque[tuple[int, int, Signed]] = field(
+        default_factory=lambda: deque(maxlen=KEPT_SEQUENCES)
+    )
 
-    def believed(self, now: float) -> float:
-        return min(1.0, self.credit + CREDIT_GAIN_S * max(0.0, now - self.at))
+    def credibility_at(self, now: float) -> float:
+        return min(1.0, self.credibility + CREDIT_GAIN_S * max(0.0, now - self.at))
 
-    def contradicted(self, now: float) -> None:
-        self.credit, self.at = self.believed(now) * CREDIT_LOSS, now
+    def reduce_credibility(self, now: float) -> None:
+        self.credibility, self.at = self.credibility_at(now) * CREDIT_LOSS, now
 
 
-class Evidence:
+class FailureReports:
     """Voices of others beside own sight."""
 
     def __init__(self) -> None:
-        self.sight = Sight()
-        self.voices: dict[str, Voice] = {}
-        self.proofs: dict[str, tuple[Signed, Signed]] = {}
+        self.observations = LocalObservations()
+        self.reporters: dict[str, Reporter] = {}
+        self.equivocations: dict[str, tuple[Signed, Signed]] = {}
 
-    def hear(self, now: float, signed: Signed, testimony: Testimony, made: float) -> bool:
+    def add_report(self, now: float, signed: Signed, testimony: Testimony, made_at: float) -> bool:
         """A testimony whose signature is good, made at ``made`` by our clock; True where it was news.
 
         Its time is judged by the caller; an older sequence than the last changes nothing but may prove a lie.
         """
         origin = signed.origin
-        if origin in self.proofs:
+        if origin in self.equivocations:
             return False
-        voice = self.voices.setdefault(origin, Voice(at=now))
+        voice = self.reporters.setdefault(origin, Reporter(at=now))
         mark = testimony.run, testimony.sequence
-        for run, sequence, other in voice.before:
+        for run, sequence, other in voice.recent_statements:
             if (run, sequence) == mark:
                 if other.body == signed.body:
                     return False
-                self.proofs[origin] = (other, signed)
-                del self.voices[origin]
+                self.equivocations[origin] = (other, signed)
+                del self.reporters[origin]
                 return True
-        voice.before.append((*mark, signed))
+        voice.recent_statements.append((*mark, signed))
         if mark <= (voice.run, voice.sequence):
             return False
         voice.run, voice.sequence = mark
-        voice.rows, voice.heard = testimony.rows, made
+        voice.rows, voice.reported_at = testimony.rows, made_at
         if self._contradicts(now, origin, testimony.rows):
-            voice.contradicted(now)
+            voice.reduce_credibility(now)
         return True
 
     def _contradicts(self, now: float, origin: str, rows: Iterable[Row]) -> bool:
         """Whether any row says the opposite of our own sight, or of a clear majority of the others."""
-        opposite = {Word.BAD: Word.GOOD, Word.GOOD: Word.BAD}
+        opposite = {Assessment.BAD: Assessment.GOOD, Assessment.GOOD: Assessment.BAD}
         for engine, attempts, failures in rows:
-            said = word(attempts, failures)
-            if said is Word.NONE:
+            said = assess(attempts, failures)
+            if said is Assessment.NONE:
                 continue
-            own = self.sight.sure(now, engine)
+            own = self.observations.confident_assessment(now, engine)
             if own is opposite[said]:
                 return True
-            if own is Word.NONE:
-                like, unlike = self.counts(now, engine, said, but=origin)
+            if own is Assessment.NONE:
+                like, unlike = self.count_reporters(now, engine, said, excluding=origin)
                 if unlike >= VOICES_LEAST and unlike > 2 * (like + 1):
                     return True
         return False
 
-    def heeded(self, now: float, voice: Voice) -> bool:
+    def is_counted(self, now: float, voice: Reporter) -> bool:
         """Fresh and credible enough to count as one voice."""
-        age = now - voice.heard
+        age = now - voice.reported_at
         weight = 0.5 ** (max(0.0, age) / HALF_S)
-        return age < OLD_S and voice.believed(now) >= CREDIT_LEAST and weight >= LEAST_WEIGHT
+        return age < MAX_REPORT_AGE_S and voice.credibility_at(now) >= CREDIT_LEAST and weight >= LEAST_WEIGHT
 
-    def counts(self, now: float, engine: str, said: Word, but: str = "") -> tuple[int, int]:
+    def count_reporters(
+        self, now: float, engine: str, said: Assessment, excluding: str = ""
+    ) -> tuple[int, int]:
         """Voices of like word and of the opposite on one engine."""
         like = unlike = 0
-        for origin, voice in self.voices.items():
-            if origin == but or not self.heeded(now, voice):
+        for origin, voice in self.reporters.items():
+            if origin == excluding or not self.is_counted(now, voice):
                 continue
             for name, attempts, failures in voice.rows:
-                if name == engine and (theirs := word(attempts, failures)) is not Word.NONE:
+                if name == engine and (theirs := assess(attempts, failures)) is not Assessment.NONE:
                     like += theirs is said
                     unlike += theirs is not said
                     break
@@ -176,55 +182,55 @@
     def tally(self, now: float) -> dict[str, tuple[int, int]]:
         """By engine: members with a bad word and members with a good one, this one's own sight included."""
         sums: dict[str, list[int]] = {}
-        for voice in self.voices.values():
-            if not self.heeded(now, voice):
+        for voice in self.reporters.values():
+            if not self.is_counted(now, voice):
                 continue
             for engine in {one[0] for one in voice.rows}:
                 attempts, failures = next((a, f) for name, a, f in voice.rows if name == engine)
-                said = word(attempts, failures)
-                if said is not Word.NONE:
-                    sums.setdefault(engine, [0, 0])[said is Word.GOOD] += 1
-        for engine in self.sight.engines:
-            if (own := self.sight.says(now, engine)) is not Word.NONE:
-                sums.setdefault(engine, [0, 0])[own is Word.GOOD] += 1
+                said = assess(attempts, failures)
+                if said is not Assessment.NONE:
+                    sums.setdefault(engine, [0, 0])[said is Assessment.GOOD] += 1
+        for engine in self.observations.engines:
+            if (own := self.observations.assessment(now, engine)) is not Assessment.NONE:
+                sums.setdefault(engine, [0, 0])[own is Assessment.GOOD] += 1
         return {engine: (bad, good) for engine, (bad, good) in sums.items()}
 
-    def failing(self, now: float, listed: set[str], living: int) -> frozenset[str]:
+    def failing_engines(self, now: float, listed: set[str], live_members: int) -> frozenset[str]:
         """Engines that the group calls failing: what this gateway may believe on hearsay."""
-        needed = quorum(living)
+        needed = quorum(live_members)
         found: list[tuple[float, int, str]] = []
         for engine, (bad, good) in self.tally(now).items():
             if engine not in listed or bad < needed or bad <= good:
                 continue
-            if self.sight.sure(now, engine) is Word.GOOD:
+            if self.observations.confident_assessment(now, engine) is Assessment.GOOD:
                 continue
-            attempts, failures = self.sight.counts(now, engine)
+            attempts, failures = self.observations.counts(now, engine)
             found.append((-failures / attempts if attempts else 0.0, -bad, engine))
         most = max(1, int(len(listed) * MOST_PART))
         return frozenset(engine for _, _, engine in sorted(found)[:most])
 
-    def own_rows(self, now: float, listed: set[str], living: int) -> tuple[Row, ...]:
+    def rows_to_report(self, now: float, listed: set[str], live_members: int) -> tuple[Row, ...]:
         """What is worth saying: own bad words, and own good ones where others say bad.
 
         Of an engine on which enough members said the same already nothing more is said: in a large group that
         keeps the traffic of one failing engine from growing with the members.
         """
-        enough = 2 * quorum(living)
+        enough = 2 * quorum(live_members)
         rows: list[tuple[float, Row]] = []
-        for engine in self.sight.engines:
+        for engine in self.observations.engines:
             if engine not in listed:
                 continue
-            attempts, failures = self.sight.counts(now, engine)
-            said = word(attempts, failures)
-            if said is Word.NONE:
+            attempts, failures = self.observations.counts(now, engine)
+            said = assess(attempts, failures)
+            if said is Assessment.NONE:
                 continue
-            like, unlike = self.counts(now, engine, said)
-            if like < enough and (said is Word.BAD or unlike):
+            like, unlike = self.count_reporters(now, engine, said)
+            if like < enough and (said is Assessment.BAD or unlike):
                 rows.append((-failures / attempts, (engine, min(attempts, 10**6), min(failures, 10**6))))
         return tuple(row for _, row in sorted(rows)[:MOST_ROWS])
 
-    def keep_only(self, now: float, names: set[str], engines: set[str]) -> None:
+    def retain(self, now: float, names: set[str], engines: set[str]) -> None:
         """What is kept of members and engines goes with them."""
-        self.voices = {one: voice for one, voice in self.voices.items() if one in names}
-        self.proofs = {one: proof for one, proof in self.proofs.items() if one in names}
-        self.sight.keep_only(now, engines)
+        self.reporters = {one: voice for one, voice in self.reporters.items() if one in names}
+        self.equivocations = {one: proof for one, proof in self.equivocations.items() if one in names}
+        self.observations.retain(now, engines)
--- a/micahold/membership/group.py
+++ b/micahold/membership/group.py
@@ -15,16 +15,16 @@
 from random import Random
 
 from micahold.membership import wire
-from micahold.membership.drains import EarlyDrains
-from micahold.membership.evidence import OLD_S, Evidence, Voice, Word
-from micahold.membership.health import LocalHealth, Stall
+from micahold.membership.dissemination import DisseminationQueue, QueuedStatement
+from micahold.membership.drain_reports import DrainReports
+from micahold.membership.failure_reports import MAX_REPORT_AGE_S, Assessment, FailureReports, Reporter
+from micahold.membership.gateway_count import GatewayCount, count_gateways
+from micahold.membership.health import LocalHealth, StallDetector
 from micahold.membership.keyring import Keyring, Signer
-from micahold.membership.prober import Probe, Prober, Relay
-from micahold.membership.replay import ReplayGuard
-from micahold.membership.roster import Change, Roster, Status, differing
-from micahold.membership.rumours import Rumour, Rumours
-from micahold.membership.size import Size, group_size
-from micahold.membership.traffic import Egress, Ingress, Level
+from micahold.membership.member_list import MemberList, Status, StatusChange, differing_buckets
+from micahold.membership.prober import IndirectProbe, Probe, Prober
+from micahold.membership.replay import ReplayProtection
+from micahold.membership.traffic import EgressLimiter, IngressLimiter, Priority
 from micahold.membership.wire import Kind, Signed, WireError
 
 Address = tuple[str, int]
@@ -70,7 +70,7 @@
 
     failing: frozenset[str]
     draining: frozenset[str]
-    size: Size
+    size: GatewayCount
     until: float
 
 
@@ -86,7 +86,7 @@
 class Waiting:
     """A message that found no room yet."""
 
-    level: Level
+    level: Priority
     until: float
     name: str
     address: Address
@@ -99,19 +99,23 @@
     def __init__(self, options: Options, signer: Signer, keyring: Keyring, now: float, seed: int) -> None:
         self.options, self.signer, self.keyring = options, signer, keyring
         self.random = Random(seed)
-        self.roster = Roster(options.name, options.period, options.lifeguard)
+        self.member_list = MemberList(options.name, options.period, options.lifeguard)
         self.prober = Prober(self.random)
-        self.health, self.stall = LocalHealth(options.lifeguard), Stall(options.lifeguard)
-        self.rumours, self.evidence, self.drains = Rumours(), Evidence(), EarlyDrains()
-        self.egress, self.ingress = Egress(options.rate), Ingress(options.rate_in)
-        self.replay = ReplayGuard(options.clock_error)
+        self.health, self.stall_detector = LocalHealth(options.lifeguard), StallDetector(options.lifeguard)
+        self.dissemination, self.failure_reports, self.drain_reports = (
+            DisseminationQueue(),
+            FailureReports(),
+            DrainReports(),
+        )
+        self.egress, self.ingress = EgressLimiter(options.rate), IngressLimiter(options.rate_in)
+        self.replay = ReplayProtection(options.clock_error)
         self.counts: Counter[str] = Counter()
         self.outbox: list[Datagram] = []
         self.exchanges: list[tuple[str, Address]] = []  # full exchanges that should be begun
-        self.news: list[Change] = []
+        self.news: list[StatusChange] = []
         self.run, self.sequence, self.testimonies = int(now * 1000), 0, 0
         self.engines: set[str] = set()
-        self.verdict = Verdict(frozenset(), frozenset(), Size(options.told, options.told), now)
+        self.verdict = Verdict(frozenset(), frozenset(), GatewayCount(options.told, options.told), now)
         self.leaving = False
         self._testified: set[str] = set()  # engines of the last testimony
         self._checked: OrderedDict[tuple[str, str, bytes], bytes] = OrderedDict()
@@ -125,7 +129,7 @@
         self._exchange_at, self._verdict_at, self._clean_at = begin + 2 * period, now, now + HOUSEKEEPING_S
         self.record = wire.Record(self.run, *options.address)
         self.own_record: Signed = self._sign(now, Kind.RECORD, self.record)
-        self.rumours.add(("record", options.name), self.own_record, Level.OWN)
+        self.dissemination.add(("record", options.name), self.own_record, Priority.OWN)
 
     # Statements
 
@@ -140,11 +144,11 @@
         """Whether the signature is good; those found good are remembered, so a statement is checked once."""
         mark = signed.origin, signed.key, signed.signature
         known = self._checked.get(mark)
-        if known is not None and known == signed.body and self.keyring.why_not(now, *mark[:2]) is None:
+        if known is not None and known == signed.body and self.keyring.key_rejection(now, *mark[:2]) is None:
             self._checked.move_to_end(mark)
             return True
         self.counts["signatures_checked"] += 1
-        why = self.keyring.accepts(now, *mark[:2], signed.signed_bytes(), signed.signature)
+        why = self.keyring.signature_rejection(now, *mark[:2], signed.signed_bytes(), signed.signature)
         if why is not None:
             self.counts[f"statements_{why}"] += 1
             return False
@@ -154,18 +158,18 @@
                 self._checked.popitem(last=False)
         return True
 
-    def _renew(self, now: float, level: Level, left: bool = False) -> None:
+    def _renew(self, now: float, level: Priority, left: bool = False) -> None:
         """A new record of our own, of the next incarnation."""
         self.record = wire.Record(self.record.incarnation + 1, *self.options.address, left)
         self.own_record = self._sign(now, Kind.RECORD, self.record)
-        self.rumours.add(("record", self.options.name), self.own_record, level)
+        self.dissemination.add(("record", self.options.name), self.own_record, level)
 
     # What arrives
 
     def receive(self, now: float, data: bytes, source: Address) -> None:
         """A datagram; whatever is wrong with it is counted and dropped, and nothing raised."""
         self.counts["datagrams_in"] += 1
-        if not self.ingress.take(now, source, len(data), len(self.keyring.keys)):
+        if not self.ingress.admit(now, source, len(data), len(self.keyring.keys)):
             self.counts["datagrams_over_rate"] += 1
             return
         packet = self._open(now, data, wire.MOST_DATAGRAM)
@@ -184,7 +188,7 @@
         if sender == self.options.name or packet.to not in (self.options.name, ""):
             self.counts["datagrams_not_ours"] += 1
             return None
-        why = self.keyring.why_not(now, sender, signed.key)
+        why = self.keyring.key_rejection(now, sender, signed.key)
         why = why or self.replay.check(now, sender, packet.run, packet.sequence, packet.at)
         if why is not None:
             self.counts[f"datagrams_{why}"] += 1
@@ -195,7 +199,7 @@
         return sender, packet
 
     def _packet(self, now: float, sender: str, packet: wire.Packet) -> None:
-        self.roster.heard_from(now, sender)
+        self.member_list.mark_heard(now, sender)
         for item in packet.items:
             self._statement(now, item)
         for message in packet.messages:
@@ -224,31 +228,33 @@
             # Of an earlier run whose clock was ahead, or of another process under our name and key.
             if record.incarnation > self.record.incarnation and self._good(now, signed):
                 self.record = record
-                self._renew(now, Level.REFUTE, left=self.leaving)
+                self._renew(now, Priority.REFUTATION, left=self.leaving)
                 self.counts["records_of_own_name"] += 1
             return
-        known = self.roster.members.get(name)
+        known = self.member_list.members.get(name)
         if known is not None and record.incarnation <= known.record.incarnation and not record.left:
-            self.rumours.heard_again(("record", name), signed)
+            self.dissemination.count_duplicate(("record", name), signed)
             return  # nothing new, nothing to check
         if not self._good(now, signed):
             return
-        fresh, changes = self.roster.learn(now, signed, record)
+        fresh, changes = self.member_list.apply_record(now, signed, record)
         if fresh:
             cleared = any(one.before in (Status.SUSPECT, Status.DEAD) for one in changes)
-            self.rumours.add(("record", name), signed, Level.REFUTE if cleared else Level.OTHERS)
+            self.dissemination.add(
+                ("record", name), signed, Priority.REFUTATION if cleared else Priority.FORWARDED
+            )
             if known is not None:
                 self._drop_refuted(name, record.incarnation)
         for change in changes:
             self.news.append(change)
             if change.before is None and change.after is Status.ALIVE:
-                self.prober.joined(name)
-            if change.why == "came_back":
+                self.prober.add_to_round(name)
+            if change.reason == "came_back":
                 self._exchange_at = min(self._exchange_at, now + self.options.period * self.random.random())
 
     def _drop_refuted(self, name: str, incarnation: int) -> None:
         """Accusations of earlier incarnations need not go out any more."""
-        self.rumours.drop(
+        self.dissemination.retain(
             lambda key: (
                 not (isinstance(key, tuple) and key[:2] == ("accusation", name) and key[3] < incarnation)
             )
@@ -262,91 +268,108 @@
             current = accusation.incarnation == self.record.incarnation
             if current and not self.leaving and self._good(now, signed):
                 self.counts["accused"] += 1
-                if self.roster.believes(now, accuser):
-                    self.health.note(+1)
-                self.roster.refuted(now, accuser)
-                self._renew(now, Level.REFUTE)
+                if self.member_list.is_credible(now, accuser):
+                    self.health.adjust(+1)
+                self.member_list.record_refutation(now, accuser)
+                self._renew(now, Priority.REFUTATION)
             return
-        member = self.roster.members.get(subject)
+        member = self.member_list.members.get(subject)
         if member is None or member.record.incarnation != accusation.incarnation:
             return
         if member.suspicion is not None and accuser in member.suspicion.accusers:
-            self.rumours.heard_again(("accusation", subject, accuser, accusation.incarnation), signed)
+            self.dissemination.count_duplicate(
+                ("accusation", subject, accuser, accusation.incarnation), signed
+            )
             return
         if not self._good(now, signed):
             return
-        self._accuse(now, signed, accusation, Level.OTHERS)
+        self._accuse(now, signed, accusation, Priority.FORWARDED)
 
-    def _accuse(self, now: float, signed: Signed, accusation: wire.Accusation, level: Level) -> None:
-        fresh, changes = self.roster.accuse(now, signed, accusation)
+    def _accuse(self, now: float, signed: Signed, accusation: wire.Accusation, level: Priority) -> None:
+        fresh, changes = self.member_list.apply_accusation(now, signed, accusation)
         if fresh:
             key = ("accusation", accusation.subject, signed.origin, accusation.incarnation)
-            self.rumours.add(key, signed, level)
+            self.dissemination.add(key, signed, level)
         self.news += changes
 
     def _hear_testimony(self, now: float, signed: Signed, testimony: wire.Testimony) -> None:
         origin = signed.origin
-        if origin == self.options.name or abs(now - testimony.at / 1000) > OLD_S + self.options.clock_error:
+        if (
+            origin == self.options.name
+            or abs(now - testimony.at / 1000) > MAX_REPORT_AGE_S + self.options.clock_error
+        ):
             return
-        age = self.replay.age(now, origin, testimony.at)
-        if age is not None and age > OLD_S:
+        age = self.replay.statement_age_s(now, origin, testimony.at)
+        if age is not None and age > MAX_REPORT_AGE_S:
             return
-        voice = self.evidence.voices.get(origin)
-        if voice is not None and (testimony.run, testimony.sequence, signed) in voice.before:
-            self.rumours.heard_again(("testimony", origin), signed)
+        voice = self.failure_reports.reporters.get(origin)
+        if voice is not None and (testimony.run, testimony.sequence, signed) in voice.recent_statements:
+            self.dissemination.count_duplicate(("testimony", origin), signed)
             return
         if not self._good(now, signed):
             return
-        if self.evidence.hear(now, signed, testimony, now - (age or 0.0)):
-            proof = self.evidence.proofs.get(origin)
+        if self.failure_reports.add_report(now, signed, testimony, now - (age or 0.0)):
+            proof = self.failure_reports.equivocations.get(origin)
             if proof is None:
-                self.rumours.add(("testimony", origin), signed, Level.OTHERS)
+                self.dissemination.add(("testimony", origin), signed, Priority.FORWARDED)
             else:
                 self.counts["liars_proven"] += 1
-                self.news.append(Change(origin, None, Status.ALIVE, "two testimonies under one sequence"))
+                self.news.append(
+                    StatusChange(origin, None, Status.ALIVE, "two testimonies under one sequence")
+                )
                 for at, one in enumerate(proof):
-                    self.rumours.add(("proof", origin, at), one, Level.OWN)
+                    self.dissemination.add(("proof", origin, at), one, Priority.OWN)
 
     def _hear_drains(self, now: float, signed: Signed, drains: wire.Drains) -> None:
         origin = signed.origin
-        if origin == self.options.name or origin in self.evidence.proofs:
+        if origin == self.options.name or origin in self.failure_reports.equivocations:
             return
-        age = self.replay.age(now, origin, drains.at)
-        if abs(now - drains.at / 1000) > OLD_S + self.options.clock_error or (age or 0.0) > OLD_S:
+        age = self.replay.statement_age_s(now, origin, drains.at)
+        if (
+            abs(now - drains.at / 1000) > MAX_REPORT_AGE_S + self.options.clock_error
+            or (age or 0.0) > MAX_REPORT_AGE_S
+        ):
             return
         if self._good(now, signed):
-            self.drains.hear(now, origin, drains.engines)
-            self.rumours.add(("drains", origin), signed, Level.OTHERS)
+            self.drain_reports.add_report(now, origin, drains.engines)
+            self.dissemination.add(("drains", origin), signed, Priority.FORWARDED)
             self._judge(now)
 
     def _message(self, now: float, sender: str, message: wire.Message) -> None:
-        member = self.roster.members.get(sender)
+        member = self.member_list.members.get(sender)
         if member is None:
             return  # its record was not with it: nowhere to answer to
         match message:
             case wire.Ping(nonce):
-                self._post(now, Level.REFUTE, sender, member.address, wire.Ack(nonce))
+                self._post(now, Priority.REFUTATION, sender, member.address, wire.Ack(nonce))
             case wire.PingFor(nonce, target):
                 self._relay(now, sender, nonce, target)
             case wire.Ack(nonce):
-                ended = self.prober.acked(nonce, sender)
-                if isinstance(ended, Relay) and (asker := self.roster.members.get(ended.asker)) is not None:
-                    self._post(now, Level.REFUTE, asker.name, asker.address, wire.Ack(ended.askers_nonce))
+                ended = self.prober.handle_ack(nonce, sender)
+                if (
+                    isinstance(ended, IndirectProbe)
+                    and (asker := self.member_list.members.get(ended.requester)) is not None
+                ):
+                    self._post(
+                        now, Priority.REFUTATION, asker.name, asker.address, wire.Ack(ended.requester_nonce)
+                    )
                 elif isinstance(ended, Probe):
-                    self.health.note(-1)
+                    self.health.adjust(-1)
                     self.counts["probes_good"] += 1
             case wire.Nack(nonce):
-                self.prober.nacked(nonce, sender)
+                self.prober.handle_nack(nonce, sender)
             case _:
                 self.counts["messages_out_of_place"] += 1
 
     def _relay(self, now: float, asker: str, nonce: int, target: str) -> None:
-        member = self.roster.members.get(target)
+        member = self.member_list.members.get(target)
         if member is None or member.status is Status.LEFT:
             return
-        relay = self.prober.relay(now, asker, nonce, self.options.probe_timeout, self.options.period)
+        relay = self.prober.start_indirect_probe(
+            now, asker, nonce, self.options.probe_timeout, self.options.period
+        )
         if relay is not None:
-            self._post(now, Level.PROBE, target, member.address, wire.Ping(relay.nonce))
+            self._post(now, Priority.PROBE, target, member.address, wire.Ping(relay.nonce))
 
     # What leaves
 
@@ -357,7 +380,9 @@
         packet = wire.Packet(name, self.run, self.sequence, int(now * 1000), tuple(messages), tuple(items))
         return wire.encode(self._sign(now, Kind.PACKET, packet))
 
-    def _post(self, now: float, level: Level, name: str, address: Address, *messages: wire.Message) -> None:
+    def _post(
+        self, now: float, level: Priority, name: str, address: Address, *messages: wire.Message
+    ) -> None:
         """Send now where the limit has room, else a little later, else not at all."""
         if not self._send(now, level, name, address, messages):
             self.counts["messages_waited"] += 1
@@ -367,7 +392,7 @@
                 self.counts["messages_given_up"] += 1
 
     def _send(
-        self, now: float, level: Level, name: str, address: Address, messages: tuple[wire.Message, ...]
+        self, now: float, level: Priority, name: str, address: Address, messages: tuple[wire.Message, ...]
     ) -> bool:
         needed = self._needed(now, name)
         rumours = self._riders(now, level, name, sum(one.length() for one in needed))
@@ -377,9 +402,9 @@
         while len(data) > wire.MOST_DATAGRAM and rumours:
             rumours.pop()
             data = self._packet_bytes(now, name, messages, [*needed, *(one.signed for one in rumours)])
-        if not self.egress.take(now, level, len(data)):
+        if not self.egress.admit(now, level, len(data)):
             return False
-        self.rumours.sent(rumours, self.roster.size())
+        self.dissemination.mark_sent(rumours, self.member_list.live_count())
         self.counts["datagrams_out"] += 1
         self.counts["bytes_out"] += len(data)
         self.outbox.append(Datagram(address, data))
@@ -388,30 +413,34 @@
     def _needed(self, now: float, name: str) -> list[Signed]:
         """What the receiver has to know before all else."""
         items: list[Signed] = []
-        member = self.roster.members.get(name)
-        if member is None or member.status is not Status.ALIVE or member.heard < now - INTRODUCED_S:
+        member = self.member_list.members.get(name)
+        if member is None or member.status is not Status.ALIVE or member.last_heard < now - INTRODUCED_S:
             items.append(self.own_record)  # it may be new, or have restarted, and have nowhere to answer to
         if member is not None and member.suspicion is not None:
             items += list(member.suspicion.accusers.values())[:1]  # so that it can clear its name
         return items
 
-    def _riders(self, now: float, level: Level, name: str, taken: int) -> list[Rumour]:
+    def _riders(self, now: float, level: Priority, name: str, taken: int) -> list[QueuedStatement]:
         """Rumours that ride along, by their order and as far as the traffic limit has room at their level."""
         room = wire.MOST_DATAGRAM - PACKET_BASE - taken
-        for floor in (Level.OTHERS, Level.OWN, Level.REFUTE):
-            free = min(self.egress.room(now, floor), self.egress.room(now, level)) - PACKET_BASE - taken
-            if free >= LEAST_RIDERS or floor is Level.REFUTE:
-                return self.rumours.pick(max(0, min(room, free)), MOST_RIDERS, name, floor)
+        for floor in (Priority.FORWARDED, Priority.OWN, Priority.REFUTATION):
+            free = (
+                min(self.egress.available_bytes(now, floor), self.egress.available_bytes(now, level))
+                - PACKET_BASE
+                - taken
+            )
+            if free >= LEAST_RIDERS or floor is Priority.REFUTATION:
+                return self.dissemination.select(max(0, min(room, free)), MOST_RIDERS, name, floor)
         return []
 
     # Time
 
     def tick(self, now: float) -> None:
         """Do what has come due."""
-        late = self.stall.late(now)
+        late = self.stall_detector.lateness_s(now)
         if late:
             self.counts["stalls"] += 1
-            self.roster.postpone(late)
+            self.member_list.postpone(late)
             self.prober.postpone(late)
         self._send_waiting(now)
         if not self.leaving:
@@ -429,14 +458,14 @@
         if now >= self._clean_at:
             self._clean_at = now + HOUSEKEEPING_S
             self._clean(now)
-        self.stall.expect(self.due())
+        self.stall_detector.expect_turn_at(self.due())
 
     def due(self) -> float:
         """When ``tick`` is wanted next, at the latest."""
         times = [self._gossip_at, self._verdict_at, self._clean_at]
         if not self.leaving:
             times += [self._probe_at, self._testify_at, self._try_at, self._exchange_at, self._seed_at]
-            times += [self.prober.due(), self.roster.due()]
+            times += [self.prober.due(), self.member_list.due()]
         return min(times)
 
     def _send_waiting(self, now: float) -> None:
@@ -449,106 +478,108 @@
 
     def _probe(self, now: float) -> None:
         period, timeout = (
-            one * self.health.stretch for one in (self.options.period, self.options.probe_timeout)
+            one * self.health.multiplier for one in (self.options.period, self.options.probe_timeout)
         )
-        for probe in self.prober.to_ask(now):
-            for name in self.prober.helpers(probe, self.roster.living()):
-                helper = self.roster.members[name]
-                self._post(now, Level.PROBE, name, helper.address, wire.PingFor(probe.nonce, probe.target))
-        for relay in self.prober.to_nack(now):
-            if (asker := self.roster.members.get(relay.asker)) is not None:
-                self._post(now, Level.REFUTE, asker.name, asker.address, wire.Nack(relay.askers_nonce))
-        for probe in self.prober.ended(now):
+        for probe in self.prober.due_for_indirect_probes(now):
+            for name in self.prober.choose_helpers(probe, self.member_list.live_names()):
+                helper = self.member_list.members[name]
+                self._post(now, Priority.PROBE, name, helper.address, wire.PingFor(probe.nonce, probe.target))
+        for relay in self.prober.take_due_nacks(now):
+            if (asker := self.member_list.members.get(relay.requester)) is not None:
+                self._post(
+                    now, Priority.REFUTATION, asker.name, asker.address, wire.Nack(relay.requester_nonce)
+                )
+        for probe in self.prober.take_failed(now):
             self._failed(now, probe)
         if now >= self._probe_at:
             self._probe_at = now + period
-            target = self.prober.next(self.roster.living())
+            target = self.prober.next_target(self.member_list.live_names())
             if target is not None:
                 self.counts["probes"] += 1
-                probe = self.prober.begin(now, target, timeout, period)
-                member = self.roster.members[target]
-                self._post(now, Level.PROBE, target, member.address, wire.Ping(probe.nonce))
+                probe = self.prober.start_probe(now, target, timeout, period)
+                member = self.member_list.members[target]
+                self._post(now, Priority.PROBE, target, member.address, wire.Ping(probe.nonce))
 
     def _failed(self, now: float, probe: Probe) -> None:
         self.counts["probes_failed"] += 1
-        self.health.note(len(probe.helpers) - probe.nacks if probe.helpers else +1)
-        member = self.roster.members.get(probe.target)
+        self.health.adjust(len(probe.helpers) - probe.nacks if probe.helpers else +1)
+        member = self.member_list.members.get(probe.target)
         if member is None or member.status not in (Status.ALIVE, Status.SUSPECT):
             return
         if member.suspicion is not None and self.options.name in member.suspicion.accusers:
             return
         accusation = wire.Accusation(probe.target, member.record.incarnation, int(now * 1000))
-        self._accuse(now, self._sign(now, Kind.ACCUSATION, accusation), accusation, Level.OWN)
+        self._accuse(now, self._sign(now, Kind.ACCUSATION, accusation), accusation, Priority.OWN)
 
     def _conclude(self, now: float) -> None:
-        self.news += self.roster.expire(now)
+        self.news += self.member_list.expire_suspicions(now)
 
     def _gossip(self, now: float) -> None:
         """Rumours besides those that ride on probes, to a few members at random."""
-        living = self.roster.living()
-        if not len(self.rumours) or not living:
+        living = self.member_list.live_names()
+        if not len(self.dissemination) or not living:
             return
         for name in self.random.sample(living, min(GOSSIP_FANOUT, len(living))):
-            if len(self.rumours) and self.egress.room(now, Level.OTHERS) >= 400:
-                self._send(now, Level.OTHERS, name, self.roster.members[name].address, ())
+            if len(self.dissemination) and self.egress.available_bytes(now, Priority.FORWARDED) >= 400:
+                self._send(now, Priority.FORWARDED, name, self.member_list.members[name].address, ())
 
     def _seek(self, now: float) -> None:
         """Seeds while nobody lives, members thought dead now and then, a full exchange at its time."""
         period = self.options.period
         if now >= self._seed_at:
-            alone = not self.roster.living()
+            alone = not self.member_list.live_names()
             self._seed_at = now + period * (2 if alone else SEED_PERIODS * 3) * (0.5 + self.random.random())
-            known = {one.address for one in self.roster}
+            known = {one.address for one in self.member_list}
             for seed in self.options.seeds:
                 if seed != self.options.address and (alone or seed not in known):
-                    self._post(now, Level.PROBE, "", seed, wire.Ping(self.prober.nonce()))
+                    self._post(now, Priority.PROBE, "", seed, wire.Ping(self.prober.new_nonce()))
         if now >= self._try_at:
             self._try_at = now + period * TRY_DEAD_PERIODS * (0.5 + self.random.random())
-            if dead := self.roster.of(Status.DEAD):
+            if dead := self.member_list.with_status(Status.DEAD):
                 one = self.random.choice(dead)
-                self._post(now, Level.PROBE, one.name, one.address, wire.Ping(self.prober.nonce()))
+                self._post(now, Priority.PROBE, one.name, one.address, wire.Ping(self.prober.new_nonce()))
         if now >= self._exchange_at:
             self._exchange_at = now + period * self._exchange_pause * (0.5 + self.random.random())
             self._exchange_pause = min(EXCHANGE_MOST, 2 * self._exchange_pause)
-            if living := self.roster.living():
+            if living := self.member_list.live_names():
                 name = self.random.choice(living)
-                self.exchanges.append((name, self.roster.members[name].address))
+                self.exchanges.append((name, self.member_list.members[name].address))
 
     def _clean(self, now: float) -> None:
         """What is kept of members, keys and engines goes when they go."""
-        names = self.keyring.names - {self.options.name}
-        self.roster.keep_only(names)
-        self.evidence.keep_only(now, names, self.engines)
-        self.replay.forget(now, names)
+        names = self.keyring.member_names - {self.options.name}
+        self.member_list.retain(names)
+        self.failure_reports.retain(now, names, self.engines)
+        self.replay.retain(now, names)
         for name in list(self._checked):
-            if self.keyring.why_not(now, name[0], name[1]) is not None:
+            if self.keyring.key_rejection(now, name[0], name[1]) is not None:
                 del self._checked[name]
 
     # Full exchange: frames of one connection, asked and answered
 
     def exchange(self, now: float, name: str) -> bytes | None:
         """The first frame of a full exchange with that member; None where the traffic limit has no room."""
-        summary = wire.Summary(self.roster.summary((self.options.name, self.record)))
+        summary = wire.Summary(self.member_list.bucket_digests((self.options.name, self.record)))
         return self._frame(now, name, (summary,), [])
 
     def frame(self, now: float, data: bytes, source: Address) -> list[bytes]:
         """Answers to one frame of a full exchange; empty where the exchange is over."""
-        if not self.ingress.take(now, source, len(data), len(self.keyring.keys)):
+        if not self.ingress.admit(now, source, len(data), len(self.keyring.keys)):
             self.counts["frames_over_rate"] += 1
             return []
         opened = self._open(now, data, wire.MOST_FRAME)
         if opened is None:
             return []
         sender, packet = opened
-        mine = self.roster.summary((self.options.name, self.record))
-        self.roster.heard_from(now, sender)
+        mine = self.member_list.bucket_digests((self.options.name, self.record))
+        self.member_list.mark_heard(now, sender)
         for item in packet.items:
             self._statement(now, item)
         answers: list[bytes | None] = []
         for message in packet.messages:
             match message:
                 case wire.Summary(theirs):
-                    differ = differing(mine, theirs)
+                    differ = differing_buckets(mine, theirs)
                     self._exchanged(bool(differ))
                     if differ:
                         answers.append(self._entries(now, sender, differ, ask=True))
@@ -566,10 +597,10 @@
 
     def _entries(self, now: float, name: str, buckets: list[int], ask: bool) -> bytes | None:
         """As many of these buckets, from a random one on, as the traffic limit has room for."""
-        room = min(wire.MOST_FRAME, self.egress.room(now, Level.EXCHANGE)) - 2 * PACKET_BASE
+        room = min(wire.MOST_FRAME, self.egress.available_bytes(now, Priority.EXCHANGE)) - 2 * PACKET_BASE
         turn = self.random.randrange(len(buckets)) if buckets else 0
         items: list[Signed] = []
-        for signed in self.roster.entries(buckets[turn:] + buckets[:turn]):
+        for signed in self.member_list.statements_in(buckets[turn:] + buckets[:turn]):
             if signed.length() <= room and len(items) < wire.MOST_ITEMS - 1:
                 room -= signed.length()
                 items.append(signed)
@@ -580,7 +611,7 @@
         self, now: float, name: str, messages: tuple[wire.Message, ...], items: list[Signed]
     ) -> bytes | None:
         data = self._packet_bytes(now, name, messages, items)
-        if len(data) > wire.MOST_FRAME or not self.egress.take(now, Level.EXCHANGE, len(data)):
+        if len(data) > wire.MOST_FRAME or not self.egress.admit(now, Priority.EXCHANGE, len(data)):
             self.counts["frames_no_room"] += 1
             return None
         self.counts["bytes_out"] += len(data)
@@ -592,24 +623,28 @@
     def attempt_ended(self, now: float, engine: str, failed: bool) -> None:
         """One attempt of this gateway's own on an engine."""
         if engine in self.engines:
-            self.evidence.sight.note(now, engine, failed)
-            if failed and engine not in self._testified and self.evidence.sight.says(now, engine) is Word.BAD:
+            self.failure_reports.observations.record_attempt(now, engine, failed)
+            if (
+                failed
+                and engine not in self._testified
+                and self.failure_reports.observations.assessment(now, engine) is Assessment.BAD
+            ):
                 self._testify_at = min(self._testify_at, now + SOON_S)
 
     def listed(self, now: float, up: set[str], draining: set[str]) -> None:
         """This gateway's own engine list: those that are up, and those that drain."""
         new = draining & self.engines
         self.engines = set(up)
-        self.drains.listed(self.engines)
+        self.drain_reports.set_listed_engines(self.engines)
         if new:
             told = wire.Drains(int(now * 1000), tuple(sorted(new))[: wire.MOST_ROWS])
             signed = self._sign(now, Kind.DRAINS, told)
-            self.rumours.add(("drains", self.options.name), signed, Level.OWN)
+            self.dissemination.add(("drains", self.options.name), signed, Priority.OWN)
             self._gossip(now)
         self._judge(now)
 
     def _testify(self, now: float) -> None:
-        rows = self.evidence.own_rows(now, self.engines, self.roster.size())
+        rows = self.failure_reports.rows_to_report(now, self.engines, self.member_list.live_count())
         if not rows:
             self._testified = set()
             return
@@ -621,26 +656,28 @@
             rows = rows[:-1]
             testimony = wire.Testimony(self.run, self.testimonies, at, window, rows)
         signed = self._sign(now, Kind.TESTIMONY, testimony)
-        self.rumours.add(("testimony", self.options.name), signed, Level.OWN)
+        self.dissemination.add(("testimony", self.options.name), signed, Priority.OWN)
         self._gossip_at = now
 
     def _judge(self, now: float) -> None:
         self._verdict_at = now + VERDICT_S
-        living = self.roster.size()
-        failing = self.evidence.failing(now, self.engines, living)
+        living = self.member_list.live_count()
+        failing = self.failure_reports.failing_engines(now, self.engines, living)
         size = self.verdict.size
-        if self._sized != self.roster.version:
-            self._sized = self.roster.version
-            states = ((one.name, one.status) for one in self.roster)
-            size = group_size(self.options.told, states, self.options.gone)
-        self.verdict = Verdict(failing, self.drains.draining(now), size, now + OLD_S)
+        if self._sized != self.member_list.version:
+            self._sized = self.member_list.version
+            states = ((one.name, one.status) for one in self.member_list)
+            size = count_gateways(self.options.told, states, self.options.gone)
+        self.verdict = Verdict(
+            failing, self.drain_reports.draining_engines(now), size, now + MAX_REPORT_AGE_S
+        )
 
     # Changes in service
 
     def leave(self, now: float) -> None:
         """Say that this member goes, so that nobody suspects it; call ``tick`` for a while longer."""
         self.leaving = True
-        self._renew(now, Level.REFUTE, left=True)
+        self._renew(now, Priority.REFUTATION, left=True)
         self._gossip_at = now
         self._gossip(now)
 
@@ -650,7 +687,7 @@
         self.egress.rate, self.ingress.rate = options.rate, options.rate_in
         self._seed_at, self._sized = now, -1
         if signer.sign(now, b"")[0] != self.own_record.key:
-            self._renew(now, Level.OWN)
+            self._renew(now, Priority.OWN)
         self._clean(now)
         self._judge(now)
 
@@ -676,27 +713,27 @@
                 "address": f"{one.record.host}:{one.record.port}",
                 "status": one.status.value,
                 "incarnation": one.record.incarnation,
-                "since_s": round(now - one.changed, 1),
-                "heard_s": round(now - one.heard, 1) if one.heard > -inf else None,
+                "since_s": round(now - one.status_since, 1),
+                "heard_s": round(now - one.last_heard, 1) if one.last_heard > -inf else None,
                 "accusers": sorted(one.suspicion.accusers) if one.suspicion is not None else [],
-                "believed": self.roster.believes(now, one.name),
-                "credit": round(voice.believed(now), 2) if (voice := self._voice(one.name)) else None,
-                "liar": one.name in self.evidence.proofs,
+                "believed": self.member_list.is_credible(now, one.name),
+                "credit": round(voice.credibility_at(now), 2) if (voice := self._voice(one.name)) else None,
+                "liar": one.name in self.failure_reports.equivocations,
             }
-            for one in sorted(self.roster, key=lambda one: one.name)
+            for one in sorted(self.member_list, key=lambda one: one.name)
         ]
         return {
             "name": self.options.name,
             "address": f"{self.options.address[0]}:{self.options.address[1]}",
             "incarnation": self.record.incarnation,
             "health": self.health.score,
-            "bound": self.verdict.size.bound,
-            "living": self.verdict.size.living,
+            "bound": self.verdict.size.upper_bound,
+            "living": self.verdict.size.live,
             "failing": sorted(self.verdict.failing),
             "draining": sorted(self.verdict.draining),
             "members": members,
             "counts": dict(sorted(self.counts.items())),
         }
 
-    def _voice(self, name: str) -> Voice | None:
-        return self.evidence.voices.get(name)
+    def _voice(self, name: str) -> Reporter | None:
+        return self.failure_reports.reporters.get(name)
--- a/micahold/membership/keyring.py
+++ b/micahold/membership/keyring.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-MOST_KEYS_A_MEMBER = 8
+MAX_KEYS_PER_MEMBER = 8
 
 
 @dataclass(slots=True, frozen=True)
@@ -33,31 +33,31 @@
         ...
 
 
-class Checker(Protocol):
+class Verifier(Protocol):
     """Checks one signature against one public key."""
 
-    def check(self, public: bytes, data: bytes, signature: bytes) -> bool: ...
+    def verify(self, public: bytes, data: bytes, signature: bytes) -> bool: ...
 
 
 class Keyring:
-    """The public keys of all members. ``why_not`` and ``accepts`` are pure but for ``checker``."""
+    """The public keys of all members; pure but for ``verifier``."""
 
-    def __init__(self, keys: Iterable[PublicKey], checker: Checker) -> None:
-        self.checker = checker
+    def __init__(self, keys: Iterable[PublicKey], verifier: Verifier) -> None:
+        self.verifier = verifier
         self.keys: dict[str, dict[str, PublicKey]] = {}
         for one in keys:
             own = self.keys.setdefault(one.member, {})
             if one.key in own:
                 raise ValueError(f"member {one.member} has key {one.key} twice")
             own[one.key] = one
-            if len(own) > MOST_KEYS_A_MEMBER:
-                raise ValueError(f"member {one.member} has more than {MOST_KEYS_A_MEMBER} keys")
+            if len(own) > MAX_KEYS_PER_MEMBER:
+                raise ValueError(f"member {one.member} has more than {MAX_KEYS_PER_MEMBER} keys")
 
     @property
-    def names(self) -> set[str]:
+    def member_names(self) -> set[str]:
         return set(self.keys)
 
-    def why_not(self, now: float, member: str, key: str) -> str | None:
+    def key_rejection(self, now: float, member: str, key: str) -> str | None:
         """None where that key of that member counts now."""
         own = self.keys.get(member)
         if own is None:
@@ -69,9 +69,11 @@
             return "key_not_yet"
         return "key_expired" if now >= found.until else None
 
-    def accepts(self, now: float, member: str, key: str, data: bytes, signature: bytes) -> str | None:
+    def signature_rejection(
+        self, now: float, member: str, key: str, data: bytes, signature: bytes
+    ) -> str | None:
         """None where the signature is good, else why not."""
-        if (why := self.why_not(now, member, key)) is not None:
+        if (why := self.key_rejection(now, member, key)) is not None:
             return why
-        good = self.checker.check(self.keys[member][key].public, data, signature)
+        good = self.verifier.verify(self.keys[member][key].public, data, signature)
         return None if good else "bad_signature"
--- a/micahold/membership/prober.py
+++ b/micahold/membership/prober.py
@@ -11,9 +11,9 @@
 from math import inf
 from random import Random
 
-HELPERS = 3
-MOST_RELAYS = 256
-NACK_PART = 0.8  # of the probe time-out
+INDIRECT_PROBE_HELPERS = 3
+MAX_INDIRECT_PROBES = 256
+NACK_TIMEOUT_SHARE = 0.8  # of the probe time-out
 
 
 @dataclass(slots=True)
@@ -22,24 +22,24 @@
 
     nonce: int
     target: str
-    began: float
+    started_at: float
     indirect_at: float
-    ends: float
+    ends_at: float
     helpers: set[str] = field(default_factory=set)
-    asked: bool = False
+    indirect_sent: bool = False
     nacks: int = 0
 
 
 @dataclass(slots=True)
-class Relay:
+class IndirectProbe:
     """A probe that we make for another member."""
 
     nonce: int
-    asker: str
-    askers_nonce: int
+    requester: str
+    requester_nonce: int
     nack_at: float
-    ends: float
-    nacked: bool = False
+    ends_at: float
+    nack_sent: bool = False
 
 
 class Prober:
@@ -49,90 +49,94 @@
         self.random = random
         self.round: list[str] = []
         self.probes: dict[int, Probe] = {}
-        self.relays: dict[int, Relay] = {}
+        self.indirect_probes: dict[int, IndirectProbe] = {}
         self._nonce = random.getrandbits(40)
 
-    def nonce(self) -> int:
+    def new_nonce(self) -> int:
         self._nonce += 1
         return self._nonce
 
-    def joined(self, name: str) -> None:
+    def add_to_round(self, name: str) -> None:
         """Put it at a random place of what is left of the round."""
         self.round.insert(self.random.randint(0, len(self.round)), name)
 
-    def next(self, living: list[str]) -> str | None:
+    def next_target(self, live_names: list[str]) -> str | None:
         """The next of the round that lives; None where nobody else does."""
-        present = set(living)
+        present = set(live_names)
         while self.round:
             name = self.round.pop()
             if name in present:
                 return name
-        self.round = list(living)
+        self.round = list(live_names)
         self.random.shuffle(self.round)
         return self.round.pop() if self.round else None
 
-    def begin(self, now: float, target: str, timeout: float, period: float) -> Probe:
-        probe = Probe(self.nonce(), target, now, now + timeout, now + period)
+    def start_probe(self, now: float, target: str, timeout: float, period: float) -> Probe:
+        probe = Probe(self.new_nonce(), target, now, now + timeout, now + period)
         self.probes[probe.nonce] = probe
         return probe
 
-    def helpers(self, probe: Probe, living: list[str]) -> list[str]:
+    def choose_helpers(self, probe: Probe, live_names: list[str]) -> list[str]:
         """Members to probe through; marks the probe as asked."""
-        probe.asked = True
-        others = [one for one in living if one != probe.target]
-        chosen = self.random.sample(others, min(HELPERS, len(others)))
+        probe.indirect_sent = True
+        others = [one for one in live_names if one != probe.target]
+        chosen = self.random.sample(others, min(INDIRECT_PROBE_HELPERS, len(others)))
         probe.helpers = set(chosen)
         return chosen
 
-    def acked(self, nonce: int, sender: str) -> Probe | Relay | None:
+    def handle_ack(self, nonce: int, sender: str) -> Probe | IndirectProbe | None:
         """What this ack ends; None where it is too late, or from one who was not asked."""
         probe = self.probes.get(nonce)
         if probe is not None and (sender == probe.target or sender in probe.helpers):
             return self.probes.pop(nonce)
-        return self.relays.pop(nonce, None)
+        return self.indirect_probes.pop(nonce, None)
 
-    def nacked(self, nonce: int, sender: str) -> None:
+    def handle_nack(self, nonce: int, sender: str) -> None:
         probe = self.probes.get(nonce)
         if probe is not None and sender in probe.helpers:
             probe.nacks += 1
 
-    def relay(self, now: float, asker: str, askers_nonce: int, timeout: float, period: float) -> Relay | None:
+    def start_indirect_probe(
+        self, now: float, requester: str, requester_nonce: int, timeout: float, period: float
+    ) -> IndirectProbe | None:
         """None where too many are open already."""
-        if len(self.relays) >= MOST_RELAYS:
+        if len(self.indirect_probes) >= MAX_INDIRECT_PROBES:
             return None
-        relay = Relay(self.nonce(), asker, askers_nonce, now + NACK_PART * timeout, now + period)
-        self.relays[relay.nonce] = relay
-        return relay
+        indirect = IndirectProbe(
+            self.new_nonce(), requester, requester_nonce, now + NACK_TIMEOUT_SHARE * timeout, now + period
+        )
+        self.indirect_probes[indirect.nonce] = indirect
+        return indirect
 
-    def to_ask(self, now: float) -> list[Probe]:
-        return [one for one in self.probes.values() if not one.asked and now >= one.indirect_at]
+    def due_for_indirect_probes(self, now: float) -> list[Probe]:
+        return [one for one in self.probes.values() if not one.indirect_sent and now >= one.indirect_at]
 
-    def ended(self, now: float) -> list[Probe]:
+    def take_failed(self, now: float) -> list[Probe]:
         """Probes that failed; they are out no more."""
-        over = [one for one in self.probes.values() if now >= one.ends]
+        over = [one for one in self.probes.values() if now >= one.ends_at]
         for probe in over:
             del self.probes[probe.nonce]
         return over
 
-    def to_nack(self, now: float) -> list[Relay]:
+    def take_due_nacks(self, now: float) -> list[IndirectProbe]:
         """Relays whose target has not answered so far; those that are over are dropped."""
-        for relay in [one for one in self.relays.values() if now >= one.ends]:
-            del self.relays[relay.nonce]
-        due = [one for one in self.relays.values() if not one.nacked and now >= one.nack_at]
-        for relay in due:
-            relay.nacked = True
+        for indirect in [one for one in self.indirect_probes.values() if now >= one.ends_at]:
+            del self.indirect_probes[indirect.nonce]
+        due = [one for one in self.indirect_probes.values() if not one.nack_sent and now >= one.nack_at]
+        for indirect in due:
+            indirect.nack_sent = True
         return due
 
-    def postpone(self, late: float) -> None:
+    def postpone(self, delay_s: float) -> None:
         """This member itself stood still: every wait grows by that."""
         for probe in self.probes.values():
-            probe.indirect_at += late
-            probe.ends += late
-        for relay in self.relays.values():
-            relay.nack_at += late
-            relay.ends += late
+            probe.indirect_at += delay_s
+            probe.ends_at += delay_s
+        for indirect in self.indirect_probes.values():
+            indirect.nack_at += delay_s
+            indirect.ends_at += delay_s
 
     def due(self) -> float:
-        times = [one.ends if one.asked else one.indirect_at for one in self.probes.values()]
-        times += [one.ends if one.nacked else one.nack_at for one in self.relays.values()]
+        times = [one.ends_at if one.indirect_sent else one.indirect_at for one in self.probes.values()]
+        times += [one.ends_at if one.nack_sent else one.nack_at for one in self.indirect_probes.values()]
         return min(times, default=inf)
--- a/micahold/membership/replay.py
+++ b/micahold/membership/replay.py
@@ -10,31 +10,31 @@
 
 from dataclasses import dataclass
 
-SPAN = 1024  # sequences behind the highest that may still come late
-KEPT_S = 5.0
+WINDOW_SEQUENCES = 1024  # sequences behind the highest that may still come late
+TRANSIT_ALLOWANCE_S = 5.0
 
 
 @dataclass(slots=True)
-class Seen:
+class SenderState:
     """Of one sender: its run, the highest sequence, a bit for each of the last ``SPAN``, when last heard."""
 
     run: int
     highest: int
     bits: int
-    heard: float
-    offset: float  # least of (our time - its time) of late: clock difference and delay, seconds
+    last_heard: float
+    clock_offset_s: float  # least of (our time - its time) of late: clock difference and delay, seconds
 
 
-class ReplayGuard:
+class ReplayProtection:
     """``check`` before the signature is verified, ``commit`` after."""
 
     def __init__(self, clock_error: float) -> None:
         self.clock_error = clock_error
-        self.senders: dict[str, Seen] = {}
+        self.senders: dict[str, SenderState] = {}
 
     def check(self, now: float, sender: str, run: int, sequence: int, at_ms: int) -> str | None:
         """None where it is new, else why not."""
-        if abs(now - at_ms / 1000) > self.clock_error + KEPT_S:
+        if abs(now - at_ms / 1000) > self.clock_error + TRANSIT_ALLOWANCE_S:
             return "time"
         seen = self.senders.get(sender)
         if seen is None or run > seen.run:
@@ -44,30 +44,34 @@
         behind = seen.highest - sequence
         if behind < 0:
             return None
-        return "repeated" if behind >= SPAN or seen.bits >> behind & 1 else None
+        return "repeated" if behind >= WINDOW_SEQUENCES or seen.bits >> behind & 1 else None
 
     def commit(self, now: float, sender: str, run: int, sequence: int, at_ms: int) -> None:
         """After the signature was found good; ``check`` must have let it pass."""
         seen, apart = self.senders.get(sender), now - at_ms / 1000
         if seen is None or run > seen.run:
-            self.senders[sender] = Seen(run, sequence, 1, now, apart)
+            self.senders[sender] = SenderState(run, sequence, 1, now, apart)
             return
         ahead = sequence - seen.highest
         if ahead > 0:
-            seen.bits = ((seen.bits << ahead) | 1) & ((1 << SPAN) - 1) if ahead < SPAN else 1
+            seen.bits = (
+                ((seen.bits << ahead) | 1) & ((1 << WINDOW_SEQUENCES) - 1) if ahead < WINDOW_SEQUENCES else 1
+            )
             seen.highest = sequence
         else:
             seen.bits |= 1 << -ahead
         # Follows the least at once and a growing delay slowly: a clock that drifts is not taken for a delay.
-        seen.offset = min(apart, seen.offset + 0.01 * (apart - seen.offset))
-        seen.heard = now
+        seen.clock_offset_s = min(apart, seen.clock_offset_s + 0.01 * (apart - seen.clock_offset_s))
+        seen.last_heard = now
 
-    def age(self, now: float, sender: str, at_ms: int) -> float | None:
+    def statement_age_s(self, now: float, sender: str, at_ms: int) -> float | None:
         """How old a statement of that time is, by the sender's offset; None where none is known."""
         seen = self.senders.get(sender)
-        return None if seen is None else max(0.0, now - at_ms / 1000 - seen.offset)
+        return None if seen is None else max(0.0, now - at_ms / 1000 - seen.clock_offset_s)
 
-    def forget(self, now: float, names: set[str]) -> None:
+    def retain(self, now: float, names: set[str]) -> None:
         """Keep only senders among ``names`` that were heard within twice the time check."""
-        last = now - 2 * (self.clock_error + KEPT_S)
-        self.senders = {one: seen for one, seen in self.senders.items() if one in names and seen.heard > last}
+        last = now - 2 * (self.clock_error + TRANSIT_ALLOWANCE_S)
+        self.senders = {
+            one: seen for one, seen in self.senders.items() if one in names and seen.last_heard > last
+        }
--- a/micahold/membership/service.py
+++ b/micahold/membership/service.py
@@ -15,7 +15,7 @@
 from twisted.python.failure import Failure
 
 from micahold import interface as api
-from micahold.membership.bridge import Bridge
+from micahold.membership.controller_adapter import ControllerAdapter
 from micahold.membership.group import Address, Group, Options
 from micahold.membership.keyring import Keyring, Signer
 from micahold.membership.wire import MOST_FRAME
@@ -114,7 +114,7 @@
     ) -> None:
         self.clock, self.now, self.group, self.listen = clock, now, group, listen
         self.log, self.tell = log, tell
-        self.bridge = Bridge(group, hearsay)
+        self.adapter = ControllerAdapter(group, hearsay)
         self.connections = 0
         self._call: Any = None
         self._udp: Any = None
@@ -149,7 +149,7 @@
 
     def reconfigure(self, options: Options, hand: Signer, keyring: Keyring, hearsay: bool) -> None:
         """Take over what may change in service."""
-        self.bridge.hearsay = hearsay
+        self.adapter.share_reports = hearsay
         self.group.reconfigure(self.now(), options, hand, keyring)
         if not hearsay:
             self.tell(api.Hearsay())
@@ -158,14 +158,14 @@
     def counters(self) -> dict[str, int]:
         """Sums by name, for the log."""
         counts = {f"gossip_{name}": number for name, number in sorted(self.group.counts.items())}
-        return {**counts, "most_gossip_bytes_a_second": self.group.egress.peak}
+        return {**counts, "most_gossip_bytes_a_second": self.group.egress.peak_bytes}
 
     # What happens
 
     def observe(self, event: api.Event) -> None:
         """An event that the exchange tells the decisions; a fault here must not reach them."""
         if isinstance(event, api.AttemptEnded | api.ListUpdate):
-            self._guarded(self.bridge.event, self.now(), event)
+            self._guarded(self.adapter.handle_event, self.now(), event)
 
     def datagramReceived(self, datagram: bytes, addr: Any) -> None:
         self._guarded(self.group.receive, self.now(), datagram, (addr[0], addr[1]))
@@ -218,8 +218,8 @@
             news, group.news = group.news, []
             for one in news:
                 before = one.before.value if one.before is not None else None
-                self.log("member", name=one.name, before=before, now=one.after.value, why=one.why)
-        for event in self.bridge.events(self.now()):
+                self.log("member", name=one.name, before=before, now=one.after.value, why=one.reason)
+        for event in self.adapter.take_events(self.now()):
             self.tell(event)
         self._wake()
 
--- a/micahold/membership/signing.py
+++ b/micahold/membership/signing.py
@@ -73,13 +73,13 @@
         return key, self._private[key].sign(data) if data else b""
 
 
-class Ed25519Checker:
-    """A ``Checker``; public keys are read once."""
+class Ed25519Verifier:
+    """A ``Verifier``; public keys are read once."""
 
     def __init__(self) -> None:
         self._keys: dict[bytes, Ed25519PublicKey] = {}
 
-    def check(self, public: bytes, data: bytes, signature: bytes) -> bool:
+    def verify(self, public: bytes, data: bytes, signature: bytes) -> bool:
         key = self._keys.get(public)
         if key is None:
             if len(self._keys) >= MOST_PUBLIC:
@@ -167,7 +167,7 @@
                 raise KeyFileError(f"{where} ({name}): key {key} is no Ed25519 key") from None
             found.append(PublicKey(name, key, public, since, until))
     try:
-        return Keyring(found, Ed25519Checker())
+        return Keyring(found, Ed25519Verifier())
     except ValueError as problem:
         raise KeyFileError(f"{path}: {problem}") from None
 
--- a/tests/test_gossip_loopback.py
+++ b/tests/test_gossip_loopback.py
@@ -261,8 +261,8 @@
     hand = Hand(keys)
     assert hand.sign(1.5e9, b"")[0] == "k2" and hand.sign(0.5e9, b"")[0] == "k1"
     key, signature = hand.sign(1.5e9, b"text")
-    assert ring.accepts(1.5e9, "a", key, b"text", signature) is None
-    assert ring.accepts(1.5e9, "a", key, b"other", signature) == "bad_signature"
+    assert ring.signature_rejection(1.5e9, "a", key, b"text", signature) is None
+    assert ring.signature_rejection(1.5e9, "a", key, b"other", signature) == "bad_signature"
     assert keys[0].seed.hex() not in repr(keys[0])
 
 
--- a/tests/test_membership_cores.py
+++ b/tests/test_membership_cores.py
@@ -10,16 +10,16 @@
 
 from micahold.laboratory.gossip_network import QuickHand, quick_keyring, secret_of
 from micahold.membership import wire
-from micahold.membership.drains import MUTED_S, WAIT_S, EarlyDrains
-from micahold.membership.evidence import Evidence, Sight, Word, quorum, word
-from micahold.membership.health import MOST, LocalHealth, Stall
+from micahold.membership.dissemination import MAX_QUEUED_STATEMENTS, DisseminationQueue, retransmission_limit
+from micahold.membership.drain_reports import CONFIRMATION_TIMEOUT_S, REPORTER_IGNORED_S, DrainReports
+from micahold.membership.failure_reports import Assessment, FailureReports, LocalObservations, assess, quorum
+from micahold.membership.gateway_count import GatewayCount, count_gateways
+from micahold.membership.health import MAX_SCORE, LocalHealth, StallDetector
 from micahold.membership.keyring import Keyring, PublicKey
-from micahold.membership.prober import Prober, Relay
-from micahold.membership.replay import SPAN, ReplayGuard
-from micahold.membership.roster import BUCKETS, Roster, Status, differing
-from micahold.membership.rumours import MOST_RUMOURS, Rumours, most_sent
-from micahold.membership.size import Size, group_size
-from micahold.membership.traffic import WINDOW_S, Egress, Ingress, Level
+from micahold.membership.member_list import BUCKET_COUNT, MemberList, Status, differing_buckets
+from micahold.membership.prober import IndirectProbe, Prober
+from micahold.membership.replay import WINDOW_SEQUENCES, ReplayProtection
+from micahold.membership.traffic import RATE_WINDOW_S, EgressLimiter, IngressLimiter, Priority
 
 AT = 1_700_000_000.0
 
@@ -36,58 +36,60 @@
 
 
 @given(
-    st.lists(st.tuples(st.floats(0, 0.3), st.sampled_from(list(Level)), st.integers(1, 1500)), max_size=200),
+    st.lists(
+        st.tuples(st.floats(0, 0.3), st.sampled_from(list(Priority)), st.integers(1, 1500)), max_size=200
+    ),
     st.integers(4096, 20000),
 )
 @settings(max_examples=60)
-def test_no_window_ever_holds_more_than_the_rate(steps: list[tuple[float, Level, int]], rate: int) -> None:
-    egress, now, sent = Egress(rate), 0.0, list[tuple[float, int]]()
+def test_no_window_ever_holds_more_than_the_rate(steps: list[tuple[float, Priority, int]], rate: int) -> None:
+    egress, now, sent = EgressLimiter(rate), 0.0, list[tuple[float, int]]()
     for passed, level, size in steps:
         now += passed
-        if egress.take(now, level, size):
+        if egress.admit(now, level, size):
             sent.append((now, size))
     for begin, _ in sent:
-        assert sum(size for at, size in sent if begin <= at <= begin + WINDOW_S) <= rate
+        assert sum(size for at, size in sent if begin <= at <= begin + RATE_WINDOW_S) <= rate
 
 
 def test_what_matters_more_finds_room_when_rumours_have_filled_their_part() -> None:
-    egress = Egress(10_000)
-    while egress.take(0.0, Level.OTHERS, 100):
+    egress = EgressLimiter(10_000)
+    while egress.admit(0.0, Priority.FORWARDED, 100):
         pass
-    assert not egress.take(0.0, Level.OTHERS, 100)
-    for level in (Level.OWN, Level.PROBE, Level.REFUTE):
-        assert egress.take(0.0, level, 500)
-    assert egress.take(0.0, Level.EXCHANGE, 2500)
+    assert not egress.admit(0.0, Priority.FORWARDED, 100)
+    for level in (Priority.OWN, Priority.PROBE, Priority.REFUTATION):
+        assert egress.admit(0.0, level, 500)
+    assert egress.admit(0.0, Priority.EXCHANGE, 2500)
 
 
 def test_a_lower_rate_holds_at_once_over_what_was_sent_before() -> None:
-    egress = Egress(16_000)
-    assert egress.take(0.0, Level.REFUTE, 8_000)
+    egress = EgressLimiter(16_000)
+    assert egress.admit(0.0, Priority.REFUTATION, 8_000)
     egress.rate = 6_000
-    assert egress.room(0.0, Level.EXCHANGE) < 0
-    assert not egress.take(0.5, Level.REFUTE, 100)
-    assert egress.take(1.1, Level.REFUTE, 100)
+    assert egress.available_bytes(0.0, Priority.EXCHANGE) < 0
+    assert not egress.admit(0.5, Priority.REFUTATION, 100)
+    assert egress.admit(1.1, Priority.REFUTATION, 100)
 
 
 def test_a_flooding_sender_takes_the_free_half_and_no_more() -> None:
-    ingress, taken = Ingress(64 * 1024), {"flood": 0, "other": 0}
+    ingress, taken = IngressLimiter(64 * 1024), {"flood": 0, "other": 0}
     lost = 0
     for step in range(10_000):
         now = step / 1000
-        taken["flood"] += ingress.take(now, ("flood", 1), 1200, 10) * 1200
+        taken["flood"] += ingress.admit(now, ("flood", 1), 1200, 10) * 1200
         if step % 500 == 0:
             for number in range(9):
-                lost += not ingress.take(now, ("other", number), 400, 10)
+                lost += not ingress.admit(now, ("other", number), 400, 10)
     assert lost == 0
     assert taken["flood"] <= 10 * 64 * 1024 * (0.5 + 0.05) + 6000
 
 
 def test_what_comes_in_has_a_bound_whoever_sends() -> None:
-    ingress = Ingress(10_000)
-    taken = sum(ingress.take(0.5, ("new", number), 1000, 3) for number in range(100))
+    ingress = IngressLimiter(10_000)
+    taken = sum(ingress.admit(0.5, ("new", number), 1000, 3) for number in range(100))
     assert taken == 10
     for number in range(5000):
-        ingress.take(float(number), ("x", number), 10, 3)
+        ingress.admit(float(number), ("x", number), 10, 3)
     assert len(ingress.buckets) <= 2048
 
 
@@ -95,7 +97,7 @@
 
 
 def test_a_datagram_counts_once_in_any_order() -> None:
-    guard = ReplayGuard(30.0)
+    guard = ReplayProtection(30.0)
     order = list(range(1, 600))
     Random(4).shuffle(order)
     late = [one for one in order if guard.check(AT, "a", 7, one, int(AT * 1000)) is None]
@@ -105,25 +107,25 @@
         assert guard.check(AT, "a", 7, one, int(AT * 1000)) == "repeated"
     assert late == order
     guard.commit(AT, "a", 7, 5000, int(AT * 1000))
-    assert guard.check(AT, "a", 7, 5000 - SPAN, int(AT * 1000)) == "repeated"
-    assert guard.check(AT, "a", 7, 5000 - SPAN + 1, int(AT * 1000)) is None
+    assert guard.check(AT, "a", 7, 5000 - WINDOW_SEQUENCES, int(AT * 1000)) == "repeated"
+    assert guard.check(AT, "a", 7, 5000 - WINDOW_SEQUENCES + 1, int(AT * 1000)) is None
 
 
 @pytest.mark.parametrize(("apart", "why"), [(29.0, None), (-29.0, None), (3600.0, "time"), (-3600.0, "time")])
 def test_clocks_may_be_thirty_seconds_apart_and_an_hour_is_too_old(apart: float, why: str | None) -> None:
-    guard = ReplayGuard(30.0)
+    guard = ReplayProtection(30.0)
     assert guard.check(AT, "a", 1, 1, int((AT - apart) * 1000)) == why
 
 
 def test_a_new_run_replaces_the_old_and_the_old_is_over() -> None:
-    guard = ReplayGuard(30.0)
+    guard = ReplayProtection(30.0)
     guard.commit(AT, "a", 5, 100, int(AT * 1000))
     assert guard.check(AT, "a", 6, 1, int(AT * 1000)) is None
     guard.commit(AT, "a", 6, 1, int(AT * 1000))
     assert guard.check(AT, "a", 5, 101, int(AT * 1000)) == "old_run"
-    guard.forget(AT + 60, {"a"})
+    guard.retain(AT + 60, {"a"})
     assert guard.check(AT + 60, "a", 5, 101, int(AT * 1000)) is not None  # not before no copy of it counts
-    guard.forget(AT + 71, {"a"})
+    guard.retain(AT + 71, {"a"})
     assert not guard.senders
 
 
@@ -131,61 +133,67 @@
 
 
 def test_each_rumour_goes_out_a_bounded_number_of_times_the_least_sent_and_newest_first() -> None:
-    rumours, sent = Rumours(), dict[str, int]()
+    rumours, sent = DisseminationQueue(), dict[str, int]()
     for number in range(30):
         one = signed(f"m{number}", wire.Kind.RECORD, wire.Record(1, "h", 1))
-        rumours.add(("record", one.origin), one, Level.OTHERS)
-    assert [one.signed.origin for one in rumours.pick(1000, 12)][:2] == ["m29", "m28"]
-    assert [one.signed.origin for one in rumours.pick(1000, 12, to="m29")][:2] == ["m28", "m27"]
+        rumours.add(("record", one.origin), one, Priority.FORWARDED)
+    assert [one.signed.origin for one in rumours.select(1000, 12)][:2] == ["m29", "m28"]
+    assert [one.signed.origin for one in rumours.select(1000, 12, receiver="m29")][:2] == ["m28", "m27"]
     for _ in range(500):
-        picked = rumours.pick(1000, 12)
-        rumours.sent(picked, 100)
+        picked = rumours.select(1000, 12)
+        rumours.mark_sent(picked, 100)
         for rumour in picked:
             origin = rumour.signed.origin
             sent[origin] = sent.get(origin, 0) + 1
     assert not len(rumours)
-    assert max(sent.values()) <= most_sent(100) == 12
-    assert most_sent(1000) <= 2 * most_sent(99)
+    assert max(sent.values()) <= retransmission_limit(100) == 12
+    assert retransmission_limit(1000) <= 2 * retransmission_limit(99)
 
 
 def test_a_refutation_goes_before_own_news_and_these_before_others() -> None:
-    rumours = Rumours()
-    for origin, level in (("other", Level.OTHERS), ("own", Level.OWN), ("refuted", Level.REFUTE)):
+    rumours = DisseminationQueue()
+    for origin, level in (
+        ("other", Priority.FORWARDED),
+        ("own", Priority.OWN),
+        ("refuted", Priority.REFUTATION),
+    ):
         rumours.add(origin, signed(origin, wire.Kind.RECORD, wire.Record(1, "h", 1)), level)
-    assert [one.signed.origin for one in rumours.pick(1000, 9)] == ["refuted", "own", "other"]
-    assert [one.signed.origin for one in rumours.pick(1000, 9, floor=Level.REFUTE)] == ["refuted"]
+    assert [one.signed.origin for one in rumours.select(1000, 9)] == ["refuted", "own", "other"]
+    assert [one.signed.origin for one in rumours.select(1000, 9, lowest=Priority.REFUTATION)] == ["refuted"]
 
 
 def test_rumours_are_bounded_and_what_is_heard_again_stops_sooner() -> None:
-    rumours = Rumours()
-    for number in range(MOST_RUMOURS + 100):
+    rumours = DisseminationQueue()
+    for number in range(MAX_QUEUED_STATEMENTS + 100):
         one = signed(f"m{number}", wire.Kind.RECORD, wire.Record(1, "h", 1))
-        rumours.add(number, one, Level.OTHERS)
-    assert len(rumours) == MOST_RUMOURS
+        rumours.add(number, one, Priority.FORWARDED)
+    assert len(rumours) == MAX_QUEUED_STATEMENTS
     last = signed("x", wire.Kind.RECORD, wire.Record(1, "h", 1))
-    rumours = Rumours()
-    rumours.add("x", last, Level.OTHERS)
+    rumours = DisseminationQueue()
+    rumours.add("x", last, Priority.FORWARDED)
     for _ in range(3):
-        rumours.heard_again("x", last)
-    assert rumours.kept["x"].sent == 3
-    rumours.add("y", last, Level.REFUTE)
-    rumours.heard_again("y", last)
-    assert rumours.kept["y"].sent == 0  # one that never hears a refutation buries who lives
+        rumours.count_duplicate("x", last)
+    assert rumours.statements["x"].transmissions == 3
+    rumours.add("y", last, Priority.REFUTATION)
+    rumours.count_duplicate("y", last)
+    assert rumours.statements["y"].transmissions == 0  # one that never hears a refutation buries who lives
 
 
 # Roster
 
 
-def known(*names: str, period: float = 1.0) -> Roster:
-    roster = Roster("me", period)
+def known(*names: str, period: float = 1.0) -> MemberList:
+    roster = MemberList("me", period)
     for name in names:
-        roster.learn(AT, signed(name, wire.Kind.RECORD, wire.Record(10, name, 1)), wire.Record(10, name, 1))
+        roster.apply_record(
+            AT, signed(name, wire.Kind.RECORD, wire.Record(10, name, 1)), wire.Record(10, name, 1)
+        )
     return roster
 
 
-def accuse(roster: Roster, now: float, accuser: str, subject: str, incarnation: int = 10) -> bool:
+def accuse(roster: MemberList, now: float, accuser: str, subject: str, incarnation: int = 10) -> bool:
     said = wire.Accusation(subject, incarnation, int(now * 1000))
-    return roster.accuse(now, signed(accuser, wire.Kind.ACCUSATION, said), said)[0]
+    return roster.apply_accusation(now, signed(accuser, wire.Kind.ACCUSATION, said), said)[0]
 
 
 def test_nobody_is_dead_without_a_suspicion_that_ran_out() -> None:
@@ -193,8 +201,8 @@
     assert accuse(roster, AT, "b", "a")
     assert roster.members["a"].status is Status.SUSPECT
     due = roster.due()
-    assert not roster.expire(due - 0.01)
-    assert [one.after for one in roster.expire(due)] == [Status.DEAD]
+    assert not roster.expire_suspicions(due - 0.01)
+    assert [one.after for one in roster.expire_suspicions(due)] == [Status.DEAD]
 
 
 def test_confirmations_by_different_members_shorten_a_suspicion_and_repeats_do_not() -> None:
@@ -210,13 +218,15 @@
     assert alone > times[0] > times[1] > times[2] - 1e-9
     suspicion = roster.members["a"].suspicion
     assert suspicion is not None
-    assert times[2] == pytest.approx(AT + suspicion.least)
+    assert times[2] == pytest.approx(AT + suspicion.min_timeout_s)
 
 
 def test_a_refutation_clears_and_an_old_accusation_comes_too_late() -> None:
     roster = known("a", "b", "c")
     accuse(roster, AT, "b", "a")
-    roster.learn(AT + 1, signed("a", wire.Kind.RECORD, wire.Record(11, "a", 1)), wire.Record(11, "a", 1))
+    roster.apply_record(
+        AT + 1, signed("a", wire.Kind.RECORD, wire.Record(11, "a", 1)), wire.Record(11, "a", 1)
+    )
     assert roster.members["a"].status is Status.ALIVE
     assert not accuse(roster, AT + 2, "c", "a", 10)
     assert not accuse(roster, AT + 2, "c", "a", 12)  # nobody raises another's incarnation
@@ -228,39 +238,39 @@
     for incarnation in range(10, 18):
         assert accuse(roster, AT, "b", "a", incarnation)
         fresh = wire.Record(incarnation + 1, "a", 1)
-        roster.learn(AT, signed("a", wire.Kind.RECORD, fresh), fresh)
+        roster.apply_record(AT, signed("a", wire.Kind.RECORD, fresh), fresh)
     assert not accuse(roster, AT, "b", "a", 18)
     assert accuse(roster, AT, "c", "a", 18)
-    assert roster.believes(AT + 31, "b")
+    assert roster.is_credible(AT + 31, "b")
 
 
 def test_who_spoke_to_us_since_is_not_buried() -> None:
     roster = known("a", "b", "c")
     accuse(roster, AT, "b", "a")
-    roster.heard_from(AT + 3, "a")
-    assert [one.after for one in roster.expire(roster.due())] == [Status.ALIVE]
+    roster.mark_heard(AT + 3, "a")
+    assert [one.after for one in roster.expire_suspicions(roster.due())] == [Status.ALIVE]
 
 
 def test_incarnations_never_fall_and_a_leave_is_the_members_own_word() -> None:
     roster = known("a")
     old, gone = wire.Record(9, "x", 1), wire.Record(10, "a", 1, left=True)
-    assert not roster.learn(AT, signed("a", wire.Kind.RECORD, old), old)[0]
-    assert roster.learn(AT, signed("a", wire.Kind.RECORD, gone), gone)[0]
+    assert not roster.apply_record(AT, signed("a", wire.Kind.RECORD, old), old)[0]
+    assert roster.apply_record(AT, signed("a", wire.Kind.RECORD, gone), gone)[0]
     assert not accuse(roster, AT, "b", "a")
     back = wire.Record(11, "a", 2)
-    changes = roster.learn(AT, signed("a", wire.Kind.RECORD, back), back)[1]
+    changes = roster.apply_record(AT, signed("a", wire.Kind.RECORD, back), back)[1]
     assert [(one.before, one.after) for one in changes] == [(Status.LEFT, Status.ALIVE)]
 
 
 def test_summaries_differ_only_where_rosters_do() -> None:
     one, other = known(*"abcdefghij"), known(*"abcdefghij")
     own = ("me", wire.Record(1, "me", 1))
-    assert not differing(one.summary(own), other.summary(own))
+    assert not differing_buckets(one.bucket_digests(own), other.bucket_digests(own))
     fresh = wire.Record(11, "c", 1)
-    other.learn(AT, signed("c", wire.Kind.RECORD, fresh), fresh)
-    differ = differing(one.summary(own), other.summary(own))
-    assert len(differ) == 1 and 0 <= differ[0] < BUCKETS
-    assert "c" in {entry.origin for entry in other.entries(differ)}
+    other.apply_record(AT, signed("c", wire.Kind.RECORD, fresh), fresh)
+    differ = differing_buckets(one.bucket_digests(own), other.bucket_digests(own))
+    assert len(differ) == 1 and 0 <= differ[0] < BUCKET_COUNT
+    assert "c" in {entry.origin for entry in other.statements_in(differ)}
 
 
 # Prober, health
@@ -268,65 +278,67 @@
 
 def test_each_round_probes_everybody_once_in_an_order_of_its_own() -> None:
     prober, names = Prober(Random(1)), [f"m{one}" for one in range(20)]
-    rounds = [[prober.next(names) for _ in names] for _ in range(3)]
+    rounds = [[prober.next_target(names) for _ in names] for _ in range(3)]
     assert all(sorted(map(str, one)) == sorted(names) for one in rounds)
     assert rounds[0] != rounds[1] != rounds[2]
-    prober.joined("new")
-    assert "new" in [prober.next([*names, "new"]) for _ in range(21)]
+    prober.add_to_round("new")
+    assert "new" in [prober.next_target([*names, "new"]) for _ in range(21)]
 
 
 def test_only_those_asked_can_end_a_probe() -> None:
     prober = Prober(Random(1))
-    probe = prober.begin(AT, "a", 0.4, 1.0)
-    assert prober.acked(probe.nonce, "liar") is None
-    helpers = prober.helpers(probe, ["a", "b", "c"])
+    probe = prober.start_probe(AT, "a", 0.4, 1.0)
+    assert prober.handle_ack(probe.nonce, "liar") is None
+    helpers = prober.choose_helpers(probe, ["a", "b", "c"])
     assert sorted(helpers) == ["b", "c"]
-    prober.nacked(probe.nonce, "liar")
+    prober.handle_nack(probe.nonce, "liar")
     assert probe.nacks == 0
-    assert prober.acked(probe.nonce, "b") is probe
-    assert prober.acked(probe.nonce, "b") is None
+    assert prober.handle_ack(probe.nonce, "b") is probe
+    assert prober.handle_ack(probe.nonce, "b") is None
 
 
 def test_a_relay_says_so_where_the_target_does_not_answer_and_ends() -> None:
     prober = Prober(Random(1))
-    relay = prober.relay(AT, "asker", 5, 0.4, 1.0)
-    assert isinstance(relay, Relay)
-    assert not prober.to_nack(AT + 0.3)
-    assert prober.to_nack(AT + 0.35) == [relay]
-    assert not prober.to_nack(AT + 0.4)
-    prober.to_nack(AT + 1.0)
-    assert not prober.relays
+    relay = prober.start_indirect_probe(AT, "asker", 5, 0.4, 1.0)
+    assert isinstance(relay, IndirectProbe)
+    assert not prober.take_due_nacks(AT + 0.3)
+    assert prober.take_due_nacks(AT + 0.35) == [relay]
+    assert not prober.take_due_nacks(AT + 0.4)
+    prober.take_due_nacks(AT + 1.0)
+    assert not prober.indirect_probes
     for _ in range(300):
-        prober.relay(AT, "asker", 5, 0.4, 1.0)
-    assert len(prober.relays) <= 256
+        prober.start_indirect_probe(AT, "asker", 5, 0.4, 1.0)
+    assert len(prober.indirect_probes) <= 256
 
 
 def test_local_health_stays_in_its_range_and_stretches_what_is_waited_for() -> None:
     health = LocalHealth()
     for change in [1] * 20:
-        health.note(change)
-    assert health.score == MOST and health.stretch == MOST + 1
+        health.adjust(change)
+    assert health.score == MAX_SCORE and health.multiplier == MAX_SCORE + 1
     for change in [-1] * 20:
-        health.note(change)
-    assert health.stretch == 1
+        health.adjust(change)
+    assert health.multiplier == 1
     off = LocalHealth(enabled=False)
-    off.note(5)
-    assert off.stretch == 1
+    off.adjust(5)
+    assert off.multiplier == 1
 
 
 def test_a_stall_is_what_is_late_beyond_the_ordinary() -> None:
-    stall = Stall()
-    stall.expect(AT)
-    assert stall.late(AT + 0.1) == 0.0
-    assert stall.late(AT + 2.0) == pytest.approx(2.0)
+    stall = StallDetector()
+    stall.expect_turn_at(AT)
+    assert stall.lateness_s(AT + 0.1) == 0.0
+    assert stall.lateness_s(AT + 2.0) == pytest.approx(2.0)
 
 
 # Evidence
 
 
-def hear(evidence: Evidence, now: float, origin: str, *rows: tuple[str, int, int], sequence: int = 0) -> bool:
+def hear(
+    evidence: FailureReports, now: float, origin: str, *rows: tuple[str, int, int], sequence: int = 0
+) -> bool:
     said = wire.Testimony(1, sequence or int(now * 1000), int(now * 1000), 5000, rows)
-    return evidence.hear(now, signed(origin, wire.Kind.TESTIMONY, said), said, now)
+    return evidence.add_report(now, signed(origin, wire.Kind.TESTIMONY, said), said, now)
 
 
 ENGINES = {f"e{one}" for one in range(12)}
@@ -338,139 +350,147 @@
 
 
 def test_no_word_counts_without_enough_members_of_like_word() -> None:
-    evidence = Evidence()
+    evidence = FailureReports()
     for at, origin in enumerate("abcd"):
-        assert evidence.failing(AT, ENGINES, 10) == frozenset()
+        assert evidence.failing_engines(AT, ENGINES, 10) == frozenset()
         hear(evidence, AT, origin, ("e1", 10, 10))
         hear(evidence, AT + 0.1, origin, ("e1", 10, 10))  # twice the same voice is one
-        assert (evidence.failing(AT + 0.1, ENGINES, 10) == {"e1"}) == (at == 3)
+        assert (evidence.failing_engines(AT + 0.1, ENGINES, 10) == {"e1"}) == (at == 3)
 
 
 def test_own_good_sight_outweighs_any_number() -> None:
-    evidence = Evidence()
+    evidence = FailureReports()
     for _ in range(3):
-        evidence.sight.note(AT, "e1", False)
+        evidence.observations.record_attempt(AT, "e1", False)
     for origin in "abcdefgh":
         hear(evidence, AT, origin, ("e1", 50, 50))
-    assert evidence.failing(AT, ENGINES, 10) == frozenset()
+    assert evidence.failing_engines(AT, ENGINES, 10) == frozenset()
 
 
 def test_a_greater_number_that_says_the_opposite_holds() -> None:
-    evidence = Evidence()
+    evidence = FailureReports()
     for origin in "abcd":
         hear(evidence, AT, origin, ("e1", 50, 50))
     for origin in "efgh":
         hear(evidence, AT, origin, ("e1", 50, 0))
-    assert evidence.failing(AT, ENGINES, 10) == frozenset()
+    assert evidence.failing_engines(AT, ENGINES, 10) == frozenset()
 
 
 def test_words_fade_and_hearsay_touches_only_a_part_of_the_engines() -> None:
-    evidence = Evidence()
+    evidence = FailureReports()
     for origin in "abcdef":
         hear(evidence, AT, origin, *[(one, 9, 9) for one in sorted(ENGINES)])
-    assert len(evidence.failing(AT, ENGINES, 10)) == len(ENGINES) // 4
-    assert evidence.failing(AT + 6.1, ENGINES, 10) == frozenset()
-    assert evidence.failing(AT, {"e1"}, 10) == {"e1"}
+    assert len(evidence.failing_engines(AT, ENGINES, 10)) == len(ENGINES) // 4
+    assert evidence.failing_engines(AT + 6.1, ENGINES, 10) == frozenset()
+    assert evidence.failing_engines(AT, {"e1"}, 10) == {"e1"}
 
 
 def test_who_keeps_contradicting_own_sight_loses_credit_and_regains_it_slowly() -> None:
-    evidence = Evidence()
+    evidence = FailureReports()
     for second in range(3):
         now = AT + second
         for _ in range(3):
-            evidence.sight.note(now, "e1", False)
+            evidence.observations.record_attempt(now, "e1", False)
         hear(evidence, now, "liar", ("e1", 50, 50))
-    assert not evidence.heeded(AT + 2, evidence.voices["liar"])
+    assert not evidence.is_counted(AT + 2, evidence.reporters["liar"])
     hear(evidence, AT + 3, "honest", ("e1", 50, 0))
-    assert evidence.heeded(AT + 3, evidence.voices["honest"])
-    assert evidence.voices["liar"].believed(AT + 10) < 0.5 < evidence.voices["liar"].believed(AT + 30)
+    assert evidence.is_counted(AT + 3, evidence.reporters["honest"])
+    assert (
+        evidence.reporters["liar"].credibility_at(AT + 10)
+        < 0.5
+        < evidence.reporters["liar"].credibility_at(AT + 30)
+    )
 
 
 def test_two_words_under_one_sequence_are_proof_and_end_a_voice() -> None:
-    evidence = Evidence()
+    evidence = FailureReports()
     assert hear(evidence, AT, "liar", ("e1", 9, 9), sequence=3)
     assert not hear(evidence, AT, "liar", ("e1", 9, 9), sequence=3)
     assert hear(evidence, AT, "liar", ("e1", 9, 0), sequence=3)
-    assert "liar" in evidence.proofs and "liar" not in evidence.voices
+    assert "liar" in evidence.equivocations and "liar" not in evidence.reporters
     assert not hear(evidence, AT, "liar", ("e2", 9, 9), sequence=4)
-    evidence.keep_only(AT, {"other"}, ENGINES)
-    assert not evidence.proofs
+    evidence.retain(AT, {"other"}, ENGINES)
+    assert not evidence.equivocations
 
 
 def test_an_older_word_that_comes_late_changes_nothing() -> None:
-    evidence = Evidence()
+    evidence = FailureReports()
     hear(evidence, AT, "a", ("e1", 9, 0), sequence=5)
     hear(evidence, AT, "a", ("e1", 9, 9), sequence=4)
-    assert evidence.voices["a"].rows == (("e1", 9, 0),)
+    assert evidence.reporters["a"].rows == (("e1", 9, 0),)
 
 
 def test_of_what_enough_have_said_nothing_more_is_said() -> None:
-    evidence = Evidence()
+    evidence = FailureReports()
     for _ in range(4):
-        evidence.sight.note(AT, "e1", True)
-    assert evidence.own_rows(AT, ENGINES, 10) == (("e1", 4, 4),)
+        evidence.observations.record_attempt(AT, "e1", True)
+    assert evidence.rows_to_report(AT, ENGINES, 10) == (("e1", 4, 4),)
     for number in range(8):
         hear(evidence, AT, f"m{number}", ("e1", 9, 9))
-    assert evidence.own_rows(AT, ENGINES, 10) == ()
+    assert evidence.rows_to_report(AT, ENGINES, 10) == ()
 
 
 def test_sight_is_of_the_last_seconds_and_goes_with_the_engine() -> None:
-    sight = Sight()
-    sight.note(AT, "e1", True)
-    sight.note(AT + 1, "e1", True)
-    assert sight.says(AT + 1, "e1") is Word.BAD
-    assert sight.says(AT + 8, "e1") is Word.NONE
-    sight.keep_only(AT + 1, set())
+    sight = LocalObservations()
+    sight.record_attempt(AT, "e1", True)
+    sight.record_attempt(AT + 1, "e1", True)
+    assert sight.assessment(AT + 1, "e1") is Assessment.BAD
+    assert sight.assessment(AT + 8, "e1") is Assessment.NONE
+    sight.retain(AT + 1, set())
     assert not sight.engines
-    assert word(10, 3) is Word.NONE and word(1, 1) is Word.NONE and word(2, 5) is Word.NONE
+    assert (
+        assess(10, 3) is Assessment.NONE
+        and assess(1, 1) is Assessment.NONE
+        and assess(2, 5) is Assessment.NONE
+    )
 
 
 # Drains and size
 
 
 def test_a_drain_needs_two_members_ends_by_itself_and_mutes_who_told_of_it() -> None:
-    drains = EarlyDrains()
-    drains.listed({f"e{one}" for one in range(16)})
-    drains.hear(AT, "a", ("e1",))
-    assert not drains.draining(AT)
-    drains.hear(AT + 0.1, "b", ("e1", "e2", "e3", "unknown"))
-    drains.hear(AT + 0.1, "c", ("e2", "e3"))
-    assert drains.draining(AT + 0.2) == {"e1", "e2"}  # an eighth of sixteen
-    assert not drains.draining(AT + 0.2 + WAIT_S)
-    drains.hear(AT + 4, "a", ("e1",))
-    drains.hear(AT + 4, "b", ("e1",))
-    assert not drains.heard
-    drains.hear(AT + 4 + MUTED_S, "a", ("e1",))
-    assert drains.heard
+    drains = DrainReports()
+    drains.set_listed_engines({f"e{one}" for one in range(16)})
+    drains.add_report(AT, "a", ("e1",))
+    assert not drains.draining_engines(AT)
+    drains.add_report(AT + 0.1, "b", ("e1", "e2", "e3", "unknown"))
+    drains.add_report(AT + 0.1, "c", ("e2", "e3"))
+    assert drains.draining_engines(AT + 0.2) == {"e1", "e2"}  # an eighth of sixteen
+    assert not drains.draining_engines(AT + 0.2 + CONFIRMATION_TIMEOUT_S)
+    drains.add_report(AT + 4, "a", ("e1",))
+    drains.add_report(AT + 4, "b", ("e1",))
+    assert not drains.reported
+    drains.add_report(AT + 4 + REPORTER_IGNORED_S, "a", ("e1",))
+    assert drains.reported
 
 
 def test_a_drain_that_our_list_confirms_is_held_against_nobody() -> None:
-    drains = EarlyDrains()
-    drains.listed({"e1", "e2"})
+    drains = DrainReports()
+    drains.set_listed_engines({"e1", "e2"})
     for origin in "ab":
-        drains.hear(AT, origin, ("e1",))
-    drains.listed({"e2"})
-    drains.draining(AT + 10)
-    assert not drains.heard and not drains.muted
+        drains.add_report(AT, origin, ("e1",))
+    drains.set_listed_engines({"e2"})
+    drains.draining_engines(AT + 10)
+    assert not drains.reported and not drains.ignored_until
 
 
 @pytest.mark.parametrize(
     ("told", "states", "gone", "size"),
     [
-        (1, {}, (), Size(1, 1)),
-        (10, {}, (), Size(10, 10)),
-        (3, {"a": Status.ALIVE, "b": Status.ALIVE}, (), Size(3, 3)),
-        (3, {"a": Status.ALIVE, "b": Status.DEAD}, (), Size(3, 2)),
-        (3, {"a": Status.ALIVE, "b": Status.LEFT}, (), Size(2, 2)),
-        (3, {"a": Status.SUSPECT, "b": Status.DEAD}, ("b",), Size(2, 2)),
-        (2, {"a": Status.ALIVE, "b": Status.ALIVE, "c": Status.ALIVE}, (), Size(4, 4)),
-        (5, {"a": Status.DEAD}, ("x",), Size(4, 3)),
+        (1, {}, (), GatewayCount(1, 1)),
+        (10, {}, (), GatewayCount(10, 10)),
+        (3, {"a": Status.ALIVE, "b": Status.ALIVE}, (), GatewayCount(3, 3)),
+        (3, {"a": Status.ALIVE, "b": Status.DEAD}, (), GatewayCount(3, 2)),
+        (3, {"a": Status.ALIVE, "b": Status.LEFT}, (), GatewayCount(2, 2)),
+        (3, {"a": Status.SUSPECT, "b": Status.DEAD}, ("b",), GatewayCount(2, 2)),
+        (2, {"a": Status.ALIVE, "b": Status.ALIVE, "c": Status.ALIVE}, (), GatewayCount(4, 4)),
+        (5, {"a": Status.DEAD}, ("x",), GatewayCount(4, 3)),
     ],
 )
 def test_only_a_leave_or_the_operator_lowers_what_bounds_the_rules(
-    told: int, states: dict[str, Status], gone: tuple[str, ...], size: Size
+    told: int, states: dict[str, Status], gone: tuple[str, ...], size: GatewayCount
 ) -> None:
-    assert group_size(told, states.items(), gone) == size
+    assert count_gateways(told, states.items(), gone) == size
 
 
 # Keys
@@ -478,11 +498,11 @@
 
 def test_keys_count_within_their_time_and_for_their_member_alone() -> None:
     hand = QuickHand("k2", secret_of("a", "k2"))
-    ring = Keyring([PublicKey("a", "k2", secret_of("a", "k2"), AT, AT + 10)], quick_keyring([]).checker)
+    ring = Keyring([PublicKey("a", "k2", secret_of("a", "k2"), AT, AT + 10)], quick_keyring([]).verifier)
     signature = hand.sign(AT, b"text")[1]
-    assert ring.accepts(AT, "a", "k2", b"text", signature) is None
-    assert ring.accepts(AT, "a", "k2", b"texT", signature) == "bad_signature"
-    assert ring.accepts(AT - 1, "a", "k2", b"text", signature) == "key_not_yet"
-    assert ring.accepts(AT + 10, "a", "k2", b"text", signature) == "key_expired"
-    assert ring.accepts(AT, "a", "k1", b"text", signature) == "unknown_key"
-    assert ring.accepts(AT, "b", "k2", b"text", signature) == "unknown_member"
+    assert ring.signature_rejection(AT, "a", "k2", b"text", signature) is None
+    assert ring.signature_rejection(AT, "a", "k2", b"texT", signature) == "bad_signature"
+    assert ring.signature_rejection(AT - 1, "a", "k2", b"text", signature) == "key_not_yet"
+    assert ring.signature_rejection(AT + 10, "a", "k2", b"text", signature) == "key_expired"
+    assert ring.signature_rejection(AT, "a", "k1", b"text", signature) == "unknown_key"
+    assert ring.signature_rejection(AT, "b", "k2", b"text", signature) == "unknown_member"
--- a/tests/test_membership_machine.py
+++ b/tests/test_membership_machine.py
@@ -13,10 +13,10 @@
 
 from micahold.laboratory import liars
 from micahold.laboratory.gossip_network import Network, Node, quick_keyring
-from micahold.membership import evidence, roster
+from micahold.membership import failure_reports, member_list
 from micahold.membership.group import Group
-from micahold.membership.roster import Change, Roster, Status
-from micahold.membership.traffic import WINDOW_S, Egress, Level
+from micahold.membership.member_list import MemberList, Status, StatusChange
+from micahold.membership.traffic import RATE_WINDOW_S, EgressLimiter, Priority
 from micahold.membership.wire import Record, Signed
 
 ENGINES = {"e1", "e2", "e3"}
@@ -102,7 +102,7 @@
     @invariant()
     def incarnations_never_fall(self) -> None:
         for node in self.net.nodes.values():
-            for member in node.group.roster:
+            for member in node.group.member_list:
                 key = (node.name, node.life, member.name)
                 assert member.record.incarnation >= self.highest.get(key, 0)
                 self.highest[key] = member.record.incarnation
@@ -112,7 +112,7 @@
         for node in self.net.nodes.values():
             for at, change in node.news:
                 if change.after is Status.DEAD:
-                    assert change.before is Status.SUSPECT and change.why == "suspicion ran out"
+                    assert change.before is Status.SUSPECT and change.reason == "suspicion ran out"
                     suspected = [
                         when
                         for when, one in node.news
@@ -140,7 +140,7 @@
                 left, first, total = node.group.left, 0, 0
                 for at, size in left:
                     total += size
-                    while left[first][0] < at - WINDOW_S:
+                    while left[first][0] < at - RATE_WINDOW_S:
                         total -= left[first][1]
                         first += 1
                     assert total <= node.group.options.rate
@@ -164,21 +164,21 @@
 
 
 def _quorum_of_one(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(evidence, "quorum", lambda living: 1)
+    patch.setattr(failure_reports, "quorum", lambda living: 1)
 
 
 def _no_limit(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Egress, "room", lambda self, now, level: 10**6)
+    patch.setattr(EgressLimiter, "available_bytes", lambda self, now, level: 10**6)
 
 
 def _no_patience(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(roster, "SUSPICION_LEAST", 1.0)
+    patch.setattr(member_list, "MIN_SUSPICION_PERIODS", 1.0)
 
 
 def _no_refutation(patch: pytest.MonkeyPatch) -> None:
     plain = Group._renew
 
-    def renew(group: Group, now: float, level: Level, left: bool = False) -> None:
+    def renew(group: Group, now: float, level: Priority, left: bool = False) -> None:
         if left:
             plain(group, now, level, left)
 
@@ -186,20 +186,22 @@
 
 
 def _old_records_count(patch: pytest.MonkeyPatch) -> None:
-    plain = Roster.learn
+    plain = MemberList.apply_record
 
-    def learn(self: Roster, now: float, signed: Signed, record: Record) -> tuple[bool, list[Change]]:
+    def learn(
+        self: MemberList, now: float, signed: Signed, record: Record
+    ) -> tuple[bool, list[StatusChange]]:
         if (member := self.members.get(signed.origin)) is not None:
             member.record = replace(member.record, incarnation=0)
         return plain(self, now, signed, record)
 
-    patch.setattr(Roster, "learn", learn)
+    patch.setattr(MemberList, "apply_record", learn)
     patch.setattr(Group, "_hear_record", _hear_any)
 
 
 def _hear_any(self: Group, now: float, signed: Signed, record: Record) -> None:
     if signed.origin != self.options.name:
-        self.roster.learn(now, signed, record)
+        self.member_list.apply_record(now, signed, record)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_membership_network.py
+++ b/tests/test_membership_network.py
@@ -12,7 +12,7 @@
 from micahold.laboratory.gossip_network import Network, Node, QuickHand, quick_keyring, secret_of
 from micahold.membership.group import Datagram, Group
 from micahold.membership.keyring import Keyring, PublicKey
-from micahold.membership.roster import Status
+from micahold.membership.member_list import Status
 
 ENGINES = {f"e{one}" for one in range(16)}
 
@@ -73,8 +73,8 @@
     assert not believed(net, 20, lambda group: group.verdict.failing)
     for node in honest(net):
         for liar in (one for one in net.living() if one not in honest(net)):
-            voice = node.group.evidence.voices.get(liar.name)
-            assert voice is None or voice.believed(net.now + node.offset) < 0.5
+            voice = node.group.failure_reports.reporters.get(liar.name)
+            assert voice is None or voice.credibility_at(net.now + node.offset) < 0.5
     assert under_the_rate(net)
 
 
@@ -98,16 +98,16 @@
     net.run(10)
     for node in honest(net):
         assert "e3" in node.group.verdict.failing
-        assert node.group.evidence.voices["m9"].believed(net.now) < 0.5
+        assert node.group.failure_reports.reporters["m9"].credibility_at(net.now) < 0.5
 
 
 def test_equivocation_is_proven_to_all_and_ends_the_voice() -> None:
     net = with_liars(1, liars.Equivocator)
     see(net, only={"m1", "m8"})
     net.run(15)
-    assert all("m9" in node.group.evidence.proofs for node in honest(net))
-    assert not any("m9" in node.group.evidence.voices for node in honest(net))
-    assert not [node for node in honest(net) if set(node.group.evidence.proofs) - {"m9"}]
+    assert all("m9" in node.group.failure_reports.equivocations for node in honest(net))
+    assert not any("m9" in node.group.failure_reports.reporters for node in honest(net))
+    assert not [node for node in honest(net) if set(node.group.failure_reports.equivocations) - {"m9"}]
 
 
 def test_one_that_says_all_engines_drain_takes_none_away() -> None:
@@ -128,7 +128,9 @@
     net = with_liars(1, liars.Accuser)
     net.run(60)
     assert net.wrong_deaths() == 0
-    assert not any(node.group.roster.believes(net.now, "m9") for node in honest(net) if node.name != "m9")
+    assert not any(
+        node.group.member_list.is_credible(net.now, "m9") for node in honest(net) if node.name != "m9"
+    )
     assert under_the_rate(net)
 
 
@@ -156,13 +158,13 @@
     net.group(4)
     net.run(10)
     group = net.nodes["m0"].group
-    before, checked = dict(group.roster.members), group.counts["signatures_checked"]
+    before, checked = dict(group.member_list.members), group.counts["signatures_checked"]
     mine = [one for one in kept if one[1].address == net.nodes["m0"].address]
     for at, (sender, datagram) in enumerate(mine):
         group.receive(net.now + 3600 + at, datagram.data, net.nodes[sender].address)
     assert group.counts["datagrams_time"] == len(mine) > 20
     assert group.counts["signatures_checked"] == checked
-    assert group.roster.members == before
+    assert group.member_list.members == before
     for sender, datagram in mine[-20:]:
         group.receive(net.now, datagram.data, net.nodes[sender].address)
     assert group.counts["datagrams_repeated"] == 20
@@ -188,7 +190,7 @@
             node.group.counts[f"datagrams_{why}"] for why in ("unreadable", "unknown_member", "unknown_key")
         )
         assert bad + node.group.counts["statements_bad_signature"] > 0
-        assert set(node.group.roster.members) == {f"m{one}" for one in range(6)} - {node.name}
+        assert set(node.group.member_list.members) == {f"m{one}" for one in range(6)} - {node.name}
 
 
 def test_members_that_pass_nothing_on_and_ways_that_reorder_and_repeat_delay_news_only() -> None:
@@ -219,13 +221,13 @@
     net.run(60)
     for node in net.living():
         same = len(ones) if node.name in ones else len(others)
-        assert node.group.verdict.size.bound == 10
+        assert node.group.verdict.size.upper_bound == 10
         # Among two, whose probes all fail, judgements are slow: local health holds them back.
-        assert same <= node.group.verdict.size.living <= (same if same > 2 else 4)
+        assert same <= node.group.verdict.size.live <= (same if same > 2 else 4)
     net.heal()
     assert net.run_until(net.agree, 60) is not None
     net.run(1)
-    assert all(node.group.verdict.size.living == 10 for node in net.living())
+    assert all(node.group.verdict.size.live == 10 for node in net.living())
     deaths = net.wrong_deaths()
     net.run(60)
     assert net.wrong_deaths() == deaths
@@ -323,7 +325,7 @@
     net.kill("m5")
     net.kill("m4")
     net.run(60)
-    assert {(node.group.verdict.size.bound, node.group.verdict.size.living) for node in net.living()} == {
+    assert {(node.group.verdict.size.upper_bound, node.group.verdict.size.live) for node in net.living()} == {
         (5, 4)
     }
     assert not [one for node in net.living() for _, one in node.news
@@ -402,7 +404,7 @@
     group.reconfigure(net.now, group.options, group.signer, left)
     group.listed(net.now, {"e2"}, set())
     net.run(11)
-    assert set(group.roster.members) == {"m1", "m2"}
-    assert set(group.evidence.voices) <= {"m1", "m2"} and set(group.replay.senders) <= {"m1", "m2"}
-    assert set(group.evidence.sight.engines) <= {"e2"}
+    assert set(group.member_list.members) == {"m1", "m2"}
+    assert set(group.failure_reports.reporters) <= {"m1", "m2"} and set(group.replay.senders) <= {"m1", "m2"}
+    assert set(group.failure_reports.observations.engines) <= {"e2"}
     assert all(mark[0] in ("m0", "m1", "m2") for mark in group._checked)
--- a/tests/test_membership_wire.py
+++ b/tests/test_membership_wire.py
@@ -28,9 +28,9 @@
 
 def state(group: Group) -> list[object]:
     return [
-        [(one.name, one.record, one.status) for one in group.roster],
-        dict(group.evidence.voices),
-        dict(group.drains.heard),
+        [(one.name, one.record, one.status) for one in group.member_list],
+        dict(group.failure_reports.reporters),
+        dict(group.drain_reports.reported),
         group.record,
     ]
 
@@ -109,7 +109,7 @@
 
 def test_nobody_speaks_for_another() -> None:
     group = settled(4)
-    before = group.roster.members["m2"].record
+    before = group.member_list.members["m2"].record
     forged = wire.Record(2**60, "10.9.9.9", 1, left=True)
     body = wire.encode(forged)
     hand = QuickHand("k1", secret_of("m1"))
@@ -117,7 +117,7 @@
     item = Signed(Kind.RECORD, "m2", "k1", body, hand.sign(0.0, data)[1])
     packet = wire.Packet("m0", 2**62, 1, int(NOW * 1000), (), (item,))
     group.receive(NOW, by_m1(wire.encode(packet)), SOURCE)
-    assert group.roster.members["m2"].record == before
+    assert group.member_list.members["m2"].record == before
     assert group.counts["statements_bad_signature"] == 1
 
 
