--- a/micahold/commands/check.py
+++ b/micahold/commands/check.py
@@ -5,7 +5,7 @@
 import click
 import orjson
 
-from micahold.program.operator_file import OperatorFileError, read_file, reference
+from micahold.program.operator_file import OperatorFileError, read_settings_file, render_reference
 
 
 @click.command("check")
@@ -16,13 +16,13 @@
 def command(context: click.Context, file: str | None, as_json: bool, show: bool) -> None:
     """Check the operator's own FILE; the exit code is 1 where anything in it is wrong."""
     if show:
-        click.echo(reference(), nl=False)
+        click.echo(render_reference(), nl=False)
         return
     if file is None:
         raise click.UsageError("FILE is missing")
     problems: list[str] = []
     try:
-        read_file(file)
+        read_settings_file(file)
     except OperatorFileError as error:
         problems = error.problems
     if as_json:
--- a/micahold/commands/cli.py
+++ b/micahold/commands/cli.py
@@ -15,7 +15,7 @@
 }
 
 
-class Lazy(click.Group):
+class LazyGroup(click.Group):
     """Imports a sub-command's module when it is called or its help is asked for."""
 
     def list_commands(self, context: click.Context) -> list[str]:
@@ -33,7 +33,7 @@
             formatter.write_dl(sorted(COMMANDS.items()))
 
 
-@click.group(cls=Lazy, context_settings={"help_option_names": ["-h", "--help"]})
+@click.group(cls=LazyGroup, context_settings={"help_option_names": ["-h", "--help"]})
 @click.version_option(package_name="micahold", message="%(version)s")
 def main() -> None:
     """An admission controller for queries on a pool of engines.
--- a/micahold/commands/members.py
+++ b/micahold/commands/members.py
@@ -12,7 +12,7 @@
 
 from micahold.membership import wire
 from micahold.membership.signing import Hand, KeyFileError, read_own
-from micahold.program.operator_file import OperatorFileError, read_file
+from micahold.program.operator_file import OperatorFileError, read_settings_file
 
 ANSWER_S, MOST_ANSWER = 5.0, 1 << 24
 
@@ -46,7 +46,7 @@
     if not path:
         raise click.UsageError("FILE is missing, and MICAHOLD_OPERATOR is not set")
     try:
-        gossip = read_file(path).gossip
+        gossip = read_settings_file(path).gossip
         if gossip is None:
             raise click.ClickException(f"{path}: gossip is off")
         own = name or gossip.name
--- a/micahold/laboratory/lying_peer.py
+++ b/micahold/laboratory/lying_peer.py
@@ -14,17 +14,17 @@
 
 from micahold.laboratory.liars import Slanderer
 from micahold.membership.service import Gossip
-from micahold.program.operator import options_of, read_all
+from micahold.program.operator import group_options, read_settings_and_keys
 
 LASTS_S = 60.0
 
 
 def main(path: str, name: str, engines: list[str]) -> None:
     """Run until the time is up or the process is ended."""
-    settings, hand, keyring = read_all(path)
+    settings, hand, keyring = read_settings_and_keys(path)
     assert settings.gossip is not None and hand is not None and keyring is not None
     reactor: Any = twisted_reactor
-    group = Slanderer(options_of(settings.gossip, name, 1), hand, keyring, time.time(), 1)
+    group = Slanderer(group_options(settings.gossip, name, 1), hand, keyring, time.time(), 1)
     peer = Gossip(reactor, time.time, group, settings.gossip.listen, lambda *_, **__: None, lambda _: None)
     peer.start()
     group.listed(time.time(), set(engines), set())
--- a/micahold/program/collector.py
+++ b/micahold/program/collector.py
@@ -10,12 +10,14 @@
 from collections.abc import Callable
 from typing import Any
 
-LOOK_S = 1.0
-WORTH_A_PASS = 2_000  # objects more than after the last pass, when nobody waits
-TOO_MANY = 20_000  # objects more than after the last pass, whoever waits: a few MB, a few ms to look through
+CHECK_INTERVAL_S = 1.0
+MIN_GROWTH_WHEN_IDLE = 2_000  # objects more than after the last pass, when nobody waits
+MAX_GROWTH_WHEN_BUSY = (
+    20_000  # objects more than after the last pass, whoever waits: a few MB, a few ms to look through
+)
 
 
-class Collector:
+class GarbageCollector:
     """Looks once a second."""
 
     def __init__(self, clock: Any, is_idle: Callable[[], bool], count: Callable[[str], None]) -> None:
@@ -25,11 +27,11 @@
         gc.collect()
         gc.freeze()  # what is there at the start stays, and need not be looked through again
         gc.disable()
-        self.clock.callLater(LOOK_S, self._look)
+        self.clock.callLater(CHECK_INTERVAL_S, self._look)
 
     def _look(self) -> None:
         grown = gc.get_count()[0]
-        if grown > TOO_MANY or (grown > WORTH_A_PASS and self.is_idle()):
+        if grown > MAX_GROWTH_WHEN_BUSY or (grown > MIN_GROWTH_WHEN_IDLE and self.is_idle()):
             gc.collect()
             self.count("collections")
-        self.clock.callLater(LOOK_S, self._look)
+        self.clock.callLater(CHECK_INTERVAL_S, self._look)
--- a/micahold/program/configuration.py
+++ b/micahold/program/configuration.py
@@ -12,9 +12,11 @@
 from micahold.protocol.engine_list import ListNews, decode_news, parse_address
 from micahold.settings import FormatError, decode_settings
 
-MOST_ACCEPTED = 16  # connections taken in one turn of the loop
+MAX_ACCEPTS_PER_ITERATION = 16  # connections taken in one turn of the loop
 DEFAULT_SOCKETS, DEFAULT_MEMORY_MB = 1024, 192.0
-CLIENT_BYTES = 1 / 16  # part of the memory that may hold what clients have sent and is not worked off yet
+CLIENT_MEMORY_SHARE = (
+    1 / 16
+)  # part of the memory that may hold what clients have sent and is not worked off yet
 
 
 @dataclass(slots=True, frozen=True)
@@ -26,17 +28,17 @@
     channel: tuple[str, int]
     seed: int
     settings: api.Settings
-    known: tuple[ListNews, ...]
+    initial_list_events: tuple[ListNews, ...]
     cursor: int
     sockets: int
     memory_mb: float = DEFAULT_MEMORY_MB
 
     @property
-    def most_client_bytes(self) -> int:
-        return int(self.memory_mb * CLIENT_BYTES * 2**20)
+    def max_client_bytes(self) -> int:
+        return int(self.memory_mb * CLIENT_MEMORY_SHARE * 2**20)
 
     @property
-    def most_engine_connections(self) -> int:
+    def max_engine_connections(self) -> int:
         """Three eighths: each attempt that is out holds about one connection, for a third that clients hold.
 
         An eighth stays free. Guards against a full table in a burst: connections that make room for others
@@ -45,10 +47,10 @@
         return max(1, self.sockets * 3 // 8)
 
     @property
-    def most_client_connections(self) -> int:
+    def max_client_connections(self) -> int:
         """Clients hold a third at most; what is beyond it lets those in that come to end a query."""
         # Files, listener, channel, connections that are closing, and those accepted in one turn.
-        reserve = max(16, self.sockets // 16) + MOST_ACCEPTED
+        reserve = max(16, self.sockets // 16) + MAX_ACCEPTS_PER_ITERATION
         return max(1, self.sockets // 2 - reserve)
 
 
@@ -76,7 +78,7 @@
             channel=parse_address(str(item["channel"])),
             seed=int(str(item.get("seed") or "0"), 16) % 2**64,
             settings=settings,
-            known=news,
+            initial_list_events=news,
             cursor=int(known.get("cursor") or 0),
             sockets=sockets,
             memory_mb=float(limits.get("memory_mb") or DEFAULT_MEMORY_MB),
--- a/micahold/program/front.py
+++ b/micahold/program/front.py
@@ -10,7 +10,7 @@
 from twisted.internet import error
 
 from micahold.counters import Counters
-from micahold.program.collector import Collector
+from micahold.program.collector import GarbageCollector
 from micahold.program.configuration import Configuration
 from micahold.program.log import Log
 from micahold.protocol.engine_list import ListNews, parse_news
@@ -22,16 +22,16 @@
 from micahold.transport.clients import ClientSessions
 from micahold.transport.directory import EngineDirectory
 
-BACKLOG = 1024
+LISTEN_BACKLOG = 1024
 # Of the platform's notice: connections come for 0.4 s after SIGTERM and requests on them for 0.2 s more;
 # SIGKILL comes no sooner than the longest deadline, 3 s at most of it counted, and 0.7 s.
-NOTICE_S = 0.7
-LONGEST_COUNTED_S = 3.0
-BEFORE_KILL_S = 0.25  # all is answered and the program gone this long before
-DECIDED_S = 0.1  # before what is still open is failed, the decisions end it
-FLUSH_S = 0.3  # for last answers to go out
-LOG_PAUSE_S = 0.05
-LAG_S = 0.1  # how often the loop's lateness is measured
+NOTICE_PERIOD_S = 0.7
+MAX_COUNTED_DEADLINE_S = 3.0
+KILL_MARGIN_S = 0.25  # all is answered and the program gone this long before
+DECISION_MARGIN_S = 0.1  # before what is still open is failed, the decisions end it
+FLUSH_TIMEOUT_S = 0.3  # for last answers to go out
+POLL_INTERVAL_S = 0.05
+LATENESS_SAMPLE_INTERVAL_S = 0.1  # how often the loop's lateness is measured
 
 
 class Phase(Enum):
@@ -45,13 +45,13 @@
     STOPPED = "stopped"
 
 
-def unix_clock() -> Callable[[], float]:
+def forward_unix_clock() -> Callable[[], float]:
     """Unix time that only moves forward: the wall clock at the start, then the monotonic clock."""
     base = time.time() - time.monotonic()
     return lambda: base + time.monotonic()
 
 
-class Companion(Protocol):
+class Subsystems(Protocol):
     """What the operator's own file switches on beside the front."""
 
     def start(self) -> None: ...
@@ -60,7 +60,7 @@
 
     def stop(self) -> None: ...
 
-    def take_over(self) -> None: ...
+    def reload(self) -> None: ...
 
     def counters(self) -> dict[str, int]: ...
 
@@ -86,7 +86,7 @@
             clock,
             self.directory,
             counters,
-            configuration.most_engine_connections,
+            configuration.max_engine_connections,
             settings.limits.connect_timeout,
             settings.limits.idle_close,
         )
@@ -99,8 +99,8 @@
             self.directory,
             counters,
             log,
-            clock.call_at_turn_end,
-            late_by=clock.late_by,
+            clock.call_at_iteration_end,
+            late_by=clock.timer_lateness,
         )
         self.sessions = ClientSessions(
             clock,
@@ -108,15 +108,15 @@
             counters,
             log,
             configuration.seed,
-            configuration.most_client_connections,
-            clock.unread_for,
-            configuration.most_client_bytes,
+            configuration.max_client_connections,
+            clock.max_read_delay,
+            configuration.max_client_bytes,
         )
         self.channel = CommandChannel(
             clock, configuration.channel, configuration.cursor, self._list_event, counters, log
         )
-        self.collector = Collector(clock, lambda: self.exchange.unanswered == 0, counters.add)
-        self.companion: Companion | None = None
+        self.collector = GarbageCollector(clock, lambda: self.exchange.unanswered == 0, counters.add)
+        self.subsystems: Subsystems | None = None
         self._port: Any = None
         self._give_up_at = 0.0
 
@@ -126,26 +126,28 @@
 
     def start(self) -> None:
         """The known list, then the channel and clients; ``CannotListenError`` if the address is taken."""
-        self.log.write_later(lambda: self.clock.callLater(LOG_PAUSE_S, self._write_log))
-        for news in self.configuration.known:
+        self.log.defer_flushes(lambda: self.clock.callLater(POLL_INTERVAL_S, self._write_log))
+        for news in self.configuration.initial_list_events:
             self.exchange.list_changed(news)
         host, port = self.configuration.listen
-        self._port = self.clock.listenTCP(port, self.sessions, backlog=BACKLOG, interface=host)
+        self._port = self.clock.listenTCP(port, self.sessions, backlog=LISTEN_BACKLOG, interface=host)
         self.channel.start()
-        if self.companion is not None:
-            self.companion.start()
-        self.clock.callLater(LAG_S, self._measure_lag, self.clock.seconds() + LAG_S)
+        if self.subsystems is not None:
+            self.subsystems.start()
+        self.clock.callLater(
+            LATENESS_SAMPLE_INTERVAL_S, self._measure_lag, self.clock.seconds() + LATENESS_SAMPLE_INTERVAL_S
+        )
         self.collector.start()
         self._enter(Phase.SERVING)
 
     def _write_log(self) -> None:
         if not self.log.flush():
-            self.clock.callLater(LOG_PAUSE_S, self._write_log)
+            self.clock.callLater(POLL_INTERVAL_S, self._write_log)
 
     def _measure_lag(self, due: float) -> None:
         now = self.clock.seconds()
         self.counters.most("loop_late_ms", round((now - due) * 1000))
-        self.clock.callLater(LAG_S, self._measure_lag, now + LAG_S)
+        self.clock.callLater(LATENESS_SAMPLE_INTERVAL_S, self._measure_lag, now + LATENESS_SAMPLE_INTERVAL_S)
 
     def _list_event(self, data: bytes) -> bool:
         """False where it can't be read."""
@@ -161,7 +163,7 @@
 
     # New configurations
 
-    def take_over(self, read: Callable[[], Configuration]) -> None:
+    def reload_configuration(self, read: Callable[[], Configuration]) -> None:
         """SIGHUP: the channel's address is taken over, all else holds until a restart.
 
         Guards against an end on SIGHUP, and against a file that is missing, half written or unusable:
@@ -183,25 +185,25 @@
 
     def reload(self, read: Callable[[], Configuration]) -> None:
         """SIGHUP: the platform's file and the operator's, each for itself."""
-        self.take_over(read)
-        if self.companion is not None:
-            self.companion.take_over()
+        self.reload_configuration(read)
+        if self.subsystems is not None:
+            self.subsystems.reload()
 
     # The end
 
-    def told_to_end(self) -> None:
+    def begin_shutdown(self) -> None:
         """SIGTERM; a second one changes nothing."""
         if self.phase is not Phase.SERVING:
             return
         self._enter(Phase.NOTICE)
         longest = max((one.deadline for one in self.configuration.settings.classes), default=0.0)
-        kill_after = min(longest, LONGEST_COUNTED_S) + NOTICE_S
-        left = max(NOTICE_S, kill_after - BEFORE_KILL_S - FLUSH_S)
+        kill_after = min(longest, MAX_COUNTED_DEADLINE_S) + NOTICE_PERIOD_S
+        left = max(NOTICE_PERIOD_S, kill_after - KILL_MARGIN_S - FLUSH_TIMEOUT_S)
         self._give_up_at = self.clock.seconds() + left
-        self.exchange.close_within(left - DECIDED_S)
-        if self.companion is not None:
-            self.companion.leave()
-        self.clock.callLater(NOTICE_S, self._drain)
+        self.exchange.close_within(left - DECISION_MARGIN_S)
+        if self.subsystems is not None:
+            self.subsystems.leave()
+        self.clock.callLater(NOTICE_PERIOD_S, self._drain)
 
     def _drain(self) -> None:
         self._enter(Phase.DRAINING)
@@ -211,7 +213,7 @@
     def _await_answers(self) -> None:
         """What no engine has answered by the last moment is failed: an exit must leave nothing open."""
         if self.exchange.unanswered and self.clock.seconds() < self._give_up_at:
-            self.clock.callLater(LOG_PAUSE_S, self._await_answers)
+            self.clock.callLater(POLL_INTERVAL_S, self._await_answers)
             return
         self._enter(Phase.CLOSING)
         if self.exchange.unanswered:
@@ -219,24 +221,24 @@
             self.exchange.give_up_all("server shutdown in progress")
         self.channel.stop()
         self.sessions.close_idle()
-        self._close_by = self.clock.seconds() + FLUSH_S
+        self._close_by = self.clock.seconds() + FLUSH_TIMEOUT_S
         self._await_sessions()
 
     def _await_sessions(self) -> None:
         if len(self.sessions) and self.clock.seconds() < self._close_by:
-            self.clock.callLater(LOG_PAUSE_S / 5, self._await_sessions)
+            self.clock.callLater(POLL_INTERVAL_S / 5, self._await_sessions)
             return
         self.sessions.abort_all()
-        if self.companion is not None:
-            self.companion.stop()
+        if self.subsystems is not None:
+            self.subsystems.stop()
         self._enter(Phase.STOPPED)
-        self.print_counters()
+        self.log_counters()
         self._stop()
 
-    def print_counters(self) -> None:
-        more = self.companion.counters() if self.companion is not None else {}
+    def log_counters(self) -> None:
+        more = self.subsystems.counters() if self.subsystems is not None else {}
         self.log("counters", open=self.exchange.unanswered, **self.counters.snapshot(), **more)
 
 
-def listen_error(problem: error.CannotListenError) -> str:
+def format_listen_error(problem: error.CannotListenError) -> str:
     return f"cannot listen on {problem.interface}:{problem.port}: {problem.socketError}"
--- a/micahold/program/log.py
+++ b/micahold/program/log.py
@@ -10,7 +10,7 @@
 
 from micahold.counters import Counters
 
-MOST_KEPT = 256 * 1024
+MAX_BUFFERED_BYTES = 256 * 1024
 
 
 class Log:
@@ -22,13 +22,13 @@
         self._later: Callable[[], None] | None = None
         os.set_blocking(descriptor, False)
 
-    def write_later(self, schedule: Callable[[], None]) -> None:
+    def defer_flushes(self, schedule: Callable[[], None]) -> None:
         """``schedule`` is called when there is something to write and nothing scheduled yet."""
         self._later = schedule
 
     def __call__(self, event: str, **fields: Any) -> None:
         line = orjson.dumps({"ts": round(self._now(), 4), "event": event, **fields}, default=repr) + b"\n"
-        if len(self._kept) + len(line) > MOST_KEPT:
+        if len(self._kept) + len(line) > MAX_BUFFERED_BYTES:
             self._counters.add("log_lines_lost")
             return
         was_empty = not self._kept
--- a/micahold/program/loop.py
+++ b/micahold/program/loop.py
@@ -15,21 +15,21 @@
 from twisted.internet.tcp import Connection, Port
 from twisted.python import log
 
-from micahold.program.configuration import MOST_ACCEPTED
+from micahold.program.configuration import MAX_ACCEPTS_PER_ITERATION
 
-MOST_READY = 16  # handled between two looks at the timers: a busy turn must not make an answer late
-MOST_ALLOWED_S = 0.05  # the platform's own allowance on sockets: no more lateness is assumed
-MOST_UNREAD_S = 0.25  # nor more time unread: never having read all for long says little of one query
-LATE_HALF_LIFE_S = 5.0
-WAITED_S = 0.001  # a poll that took longer had nothing to tell when it began
+MAX_READY_EVENTS = 16  # handled between two looks at the timers: a busy turn must not make an answer late
+MAX_ASSUMED_LATENESS_S = 0.05  # the platform's own allowance on sockets: no more lateness is assumed
+MAX_UNREAD_S = 0.25  # nor more time unread: never having read all for long says little of one query
+LATENESS_HALF_LIFE_S = 5.0
+MIN_BLOCKING_POLL_S = 0.001  # a poll that took longer had nothing to tell when it began
 
 
-class GentlePort(Port):
+class BoundedAcceptPort(Port):
     """A listener that takes a few connections a turn; Twisted's takes hundreds once hundreds wait."""
 
     @property
     def numberAccepts(self) -> int:
-        return MOST_ACCEPTED
+        return MAX_ACCEPTS_PER_ITERATION
 
     @numberAccepts.setter
     def numberAccepts(self, number: int) -> None:
@@ -46,8 +46,8 @@
         self._late = 0.0
         super().__init__()  # type: ignore[no-untyped-call]
 
-    def listenTCP(self, port: int, factory: Any, backlog: int = 50, interface: str = "") -> GentlePort:
-        listener = GentlePort(port, factory, backlog, interface, self)
+    def listenTCP(self, port: int, factory: Any, backlog: int = 50, interface: str = "") -> BoundedAcceptPort:
+        listener = BoundedAcceptPort(port, factory, backlog, interface, self)
         listener.startListening()
         return listener
 
@@ -64,24 +64,24 @@
         elif writer.fileno() in self._writes or not isinstance(writer, Connection) or writer.fileno() == -1:
             super().removeWriter(writer)  # type: ignore[no-untyped-call]
 
-    def call_at_turn_end(self, act: Callable[[], None]) -> None:
+    def call_at_iteration_end(self, act: Callable[[], None]) -> None:
         """Once, after what is ready now and due now, and before what was written is sent."""
         self._at_turn_end.append(act)
 
-    def unread_for(self) -> float:
+    def max_read_delay(self) -> float:
         """How long what is being read may have lain there, in seconds.
 
         Guards against deadlines counted from when a late turn got to a query. What is ready without a wait
         came after the last poll that did not find all it could take; what was waited for has just come.
         """
-        return max(0.0, min(MOST_UNREAD_S, float(self.seconds()) - self._unread_since))
+        return max(0.0, min(MAX_UNREAD_S, float(self.seconds()) - self._unread_since))
 
-    def late_by(self) -> float:
+    def timer_lateness(self) -> float:
         """How late a timer may fire, in seconds: the longest turn of late, fading.
 
         Guards against answers at a deadline that a stalled machine makes late.
         """
-        return min(MOST_ALLOWED_S, self._late)
+        return min(MAX_ASSUMED_LATENESS_S, self._late)
 
     def _end_turn(self) -> bool:
         """True if there was anything to do."""
@@ -117,17 +117,17 @@
             timeout = self.timeout()
         before = self.seconds()
         try:
-            ready = self._poller.poll(-1 if timeout is None else timeout, MOST_READY)
+            ready = self._poller.poll(-1 if timeout is None else timeout, MAX_READY_EVENTS)
         except OSError as problem:
             if problem.errno == errno.EINTR:
                 return
             raise
         after = self.seconds()
         passed, turn = after - self._returned, before - self._returned
-        self._late = max(turn, self._late * 0.5 ** (passed / LATE_HALF_LIFE_S)) if self._returned else 0.0
+        self._late = max(turn, self._late * 0.5 ** (passed / LATENESS_HALF_LIFE_S)) if self._returned else 0.0
         self._returned = after
-        self._unread_since = after if after - before > WAITED_S else self._drained
-        if len(ready) < MOST_READY:
+        self._unread_since = after if after - before > MIN_BLOCKING_POLL_S else self._drained
+        if len(ready) < MAX_READY_EVENTS:
             self._drained = after
         for descriptor, event in ready:
             selectable = self._selectables.get(descriptor)
--- a/micahold/program/operator.py
+++ b/micahold/program/operator.py
@@ -11,15 +11,14 @@
 from micahold.membership.service import Gossip
 from micahold.membership.signing import Hand, KeyFileError, read_members, read_own
 from micahold.program.front import Front
-from micahold.program.operator_file import OperatorFileError, changes, read_file
-from micahold.program.operator_settings import Gossip as GossipSettings
-from micahold.program.operator_settings import Operator as OperatorSettings
-from micahold.program.structured import logger
+from micahold.program.operator_file import OperatorFileError, changed_settings, read_settings_file
+from micahold.program.operator_settings import GossipSettings, OperatorSettings
+from micahold.program.structured import bind_logger
 
 
-def read_all(path: str) -> tuple[OperatorSettings, Hand | None, Keyring | None]:
+def read_settings_and_keys(path: str) -> tuple[OperatorSettings, Hand | None, Keyring | None]:
     """The file and the key files it names; ``OperatorFileError`` where any can't be used."""
-    settings = read_file(path)
+    settings = read_settings_file(path)
     if settings.gossip is None:
         return settings, None, None
     try:
@@ -28,7 +27,7 @@
         raise OperatorFileError([str(problem)]) from None
 
 
-def options_of(gossip: GossipSettings, front_name: str, told: int) -> Options:
+def group_options(gossip: GossipSettings, front_name: str, told: int) -> Options:
     """The settings as the group wants them."""
     return Options(
         name=gossip.name or front_name,
@@ -44,16 +43,16 @@
     )
 
 
-class Operator:
+class OperatorSubsystems:
     """The subsystems that are on; ``OperatorFileError`` from the constructor where they can't be."""
 
     def __init__(self, path: str, front: Front, clock: Any, now: Callable[[], float], log: Any) -> None:
         self.path, self.front, self.now, self.log = path, front, now, log
-        self.settings, hand, keyring = read_all(path)
+        self.settings, hand, keyring = read_settings_and_keys(path)
         self.gossip: Gossip | None = None
         configuration = front.configuration
         if self.settings.gossip is not None and hand is not None and keyring is not None:
-            options = options_of(self.settings.gossip, configuration.name, configuration.settings.gateways)
+            options = group_options(self.settings.gossip, configuration.name, configuration.settings.gateways)
             if options.name not in keyring.keys:
                 raise OperatorFileError([f"{self.settings.gossip.members}: no member {options.name}"])
             group = Group(options, hand, keyring, now(), configuration.seed)
@@ -62,7 +61,7 @@
                 now,
                 group,
                 self.settings.gossip.listen,
-                logger(log, part="gossip").info,
+                bind_logger(log, part="gossip").info,
                 front.exchange.tell,
                 self.settings.gossip.hearsay,
             )
@@ -83,19 +82,19 @@
     def counters(self) -> dict[str, int]:
         return self.gossip.counters() if self.gossip is not None else {}
 
-    def take_over(self) -> None:
+    def reload(self) -> None:
         """SIGHUP: what can change in service does; a file that can't be used changes nothing."""
         try:
-            settings, hand, keyring = read_all(self.path)
+            settings, hand, keyring = read_settings_and_keys(self.path)
         except OperatorFileError as problem:
             self.log("operator_reload_refused", errors=problem.problems)
             return
-        taken, waits = changes(self.settings, settings)
+        taken, waits = changed_settings(self.settings, settings)
         old, new = self.settings.gossip, settings.gossip
         if self.gossip is not None and old is not None and new is not None and hand and keyring:
             configuration = self.front.configuration
-            told = options_of(old, configuration.name, configuration.settings.gateways)
-            fresh = options_of(new, configuration.name, configuration.settings.gateways)
+            told = group_options(old, configuration.name, configuration.settings.gateways)
+            fresh = group_options(new, configuration.name, configuration.settings.gateways)
             if told.name not in keyring.keys:
                 self.log("operator_reload_refused", errors=[f"{new.members}: no member {told.name}"])
                 return
--- a/micahold/program/operator_settings.py
+++ b/micahold/program/operator_settings.py
@@ -23,7 +23,7 @@
     return msgspec.Meta(description=meaning, extra={"in_service": in_service})
 
 
-class Gossip(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
+class GossipSettings(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
     """Instances find each other and share what they saw of engines; off where this section is missing."""
 
     listen: Annotated[Address, _is("where datagrams (UDP) and full exchanges (TCP) of other members arrive")]
@@ -51,7 +51,7 @@
             raise ValueError("rate must be 4KiB/s or more: probes alone need that")
 
 
-class Operator(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
+class OperatorSettings(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
     """The whole file."""
 
-    gossip: Gossip | None = None
+    gossip: GossipSettings | None = None
--- a/micahold/program/start.py
+++ b/micahold/program/start.py
@@ -17,15 +17,15 @@
 
 from micahold.counters import Counters
 from micahold.program.configuration import Configuration, parse_configuration
-from micahold.program.front import Companion, Front, listen_error, unix_clock
+from micahold.program.front import Front, Subsystems, format_listen_error, forward_unix_clock
 from micahold.program.log import Log
 from micahold.program.loop import install
 from micahold.settings import FormatError
 
-BAD_CONFIGURATION, CANNOT_LISTEN = 2, 1
+EXIT_BAD_CONFIGURATION, EXIT_CANNOT_LISTEN = 2, 1
 
 
-def complain(text: str) -> None:
+def print_error(text: str) -> None:
     print(f"micahold: {text}", file=sys.stderr, flush=True)
 
 
@@ -40,15 +40,15 @@
     return parse_configuration(data)
 
 
-def companion(path: str, front: Front, loop: Any, now: Callable[[], float], log: Log) -> Companion:
+def create_subsystems(path: str, front: Front, loop: Any, now: Callable[[], float], log: Log) -> Subsystems:
     """What the operator's own file switches on; ``FormatError`` where it can't be used."""
     try:
-        from micahold.program.operator import Operator
+        from micahold.program.operator import OperatorSubsystems
         from micahold.program.operator_file import OperatorFileError
     except ModuleNotFoundError as problem:
         raise FormatError(f"{problem.name} is missing: pip install 'micahold[gossip]'") from None
     try:
-        return Operator(path, front, loop, now, log)
+        return OperatorSubsystems(path, front, loop, now, log)
     except OperatorFileError as problem:
         raise FormatError("\nmicahold: ".join(problem.problems)) from None
 
@@ -59,19 +59,19 @@
     try:
         configuration = read_configuration()
     except FormatError as problem:
-        complain(str(problem))
-        return BAD_CONFIGURATION
+        print_error(str(problem))
+        return EXIT_BAD_CONFIGURATION
     loop = install()
-    now, counters = unix_clock(), Counters()
+    now, counters = forward_unix_clock(), Counters()
     log = Log(sys.stdout.fileno(), now, counters)
     front = Front(configuration, loop, now, log, counters, loop.stop)
 
     if operator := os.environ.get("MICAHOLD_OPERATOR"):
         try:
-            front.companion = companion(operator, front, loop, now, log)
+            front.subsystems = create_subsystems(operator, front, loop, now, log)
         except FormatError as problem:
-            complain(str(problem))
-            return BAD_CONFIGURATION
+            print_error(str(problem))
+            return EXIT_BAD_CONFIGURATION
 
     def note_error(event: dict[str, Any]) -> None:
         """What Twisted caught: the one session or call has ended, the program goes on."""
@@ -85,16 +85,16 @@
 
     def set_up() -> None:
         # After start, so that these stand in place of the reactor's own.
-        signal.signal(signal.SIGTERM, lambda *_: loop.callFromThread(front.told_to_end))
+        signal.signal(signal.SIGTERM, lambda *_: loop.callFromThread(front.begin_shutdown))
         signal.signal(signal.SIGHUP, lambda *_: loop.callFromThread(front.reload, read_configuration))
-        signal.signal(signal.SIGUSR1, lambda *_: loop.callFromThread(front.print_counters))
+        signal.signal(signal.SIGUSR1, lambda *_: loop.callFromThread(front.log_counters))
 
     loop.callWhenRunning(set_up)
     try:
         front.start()
     except error.CannotListenError as problem:
-        complain(listen_error(problem))
-        return CANNOT_LISTEN
+        print_error(format_listen_error(problem))
+        return EXIT_CANNOT_LISTEN
     loop.run()
     log.flush()
     return 0
--- a/micahold/program/structured.py
+++ b/micahold/program/structured.py
@@ -13,7 +13,7 @@
 from structlog.typing import EventDict, WrappedLogger
 
 
-class Writer:
+class LogWriter:
     """Ends a chain of structlog processors in a call of the front's log."""
 
     def __init__(self, log: Callable[..., None]) -> None:
@@ -31,10 +31,10 @@
     return (name,), dict(item)
 
 
-def logger(log: Callable[..., None], **context: Any) -> structlog.BoundLogger:
+def bind_logger(log: Callable[..., None], **context: Any) -> structlog.BoundLogger:
     """A structlog logger whose lines go to ``log`` with ``context`` in each."""
     bound: structlog.BoundLogger = structlog.wrap_logger(
-        Writer(log),
+        LogWriter(log),
         processors=[structlog.processors.format_exc_info, _to_fields],
         wrapper_class=structlog.BoundLogger,
         cache_logger_on_first_use=True,
--- a/tests/test_loop.py
+++ b/tests/test_loop.py
@@ -5,7 +5,7 @@
 import subprocess
 import sys
 
-from micahold.program.configuration import MOST_ACCEPTED
+from micahold.program.configuration import MAX_ACCEPTS_PER_ITERATION
 
 SCRIPT = """
 from micahold.program.loop import install
@@ -19,8 +19,8 @@
 class Server(Protocol):
     def connectionMade(self):
         self.transport.write(b"x" * SIZE)  # more than a socket takes at once
-        reactor.call_at_turn_end(lambda: turns.append("end"))
-        reactor.call_at_turn_end(lambda: 1 // 0)
+        reactor.call_at_iteration_end(lambda: turns.append("end"))
+        reactor.call_at_iteration_end(lambda: 1 // 0)
     def dataReceived(self, data):
         self.transport.write(data)
         self.transport.loseConnection()
@@ -57,15 +57,15 @@
 
 LATE_SCRIPT = """
 import time
-from micahold.program.loop import MOST_ALLOWED_S, install
+from micahold.program.loop import MAX_ASSUMED_LATENESS_S, install
 reactor = install()
 seen = []
-reactor.callLater(0.05, lambda: seen.append(reactor.late_by()))
+reactor.callLater(0.05, lambda: seen.append(reactor.timer_lateness()))
 reactor.callLater(0.06, time.sleep, 0.2)
-reactor.callLater(0.07, lambda: reactor.callLater(0.01, lambda: seen.append(reactor.late_by())))
+reactor.callLater(0.07, lambda: reactor.callLater(0.01, lambda: seen.append(reactor.timer_lateness())))
 reactor.callLater(0.5, reactor.stop)
 reactor.run()
-print(seen[0] < MOST_ALLOWED_S, seen[1] == MOST_ALLOWED_S)
+print(seen[0] < MAX_ASSUMED_LATENESS_S, seen[1] == MAX_ASSUMED_LATENESS_S)
 """
 
 
@@ -85,7 +85,7 @@
 class Server(Protocol):
     def connectionMade(self):
         if not turns[-1]:
-            reactor.call_at_turn_end(lambda: turns.append(0))
+            reactor.call_at_iteration_end(lambda: turns.append(0))
         turns[-1] += 1
         if sum(turns) == 100:
             print(max(turns))
@@ -104,4 +104,4 @@
     done = subprocess.run(
         [sys.executable, "-c", FLOOD], capture_output=True, text=True, timeout=30, check=False
     )
-    assert done.stdout.strip() == str(MOST_ACCEPTED), done.stderr
+    assert done.stdout.strip() == str(MAX_ACCEPTS_PER_ITERATION), done.stderr
--- a/tests/test_operator_file.py
+++ b/tests/test_operator_file.py
@@ -13,22 +13,22 @@
 from micahold.program import units
 from micahold.program.operator_file import (
     OperatorFileError,
-    changes,
-    lines_of,
-    parse,
-    read_file,
-    read_text,
-    reference,
+    changed_settings,
+    expression_lines,
+    parse_expressions,
+    parse_settings,
+    read_settings_file,
+    render_reference,
 )
-from micahold.program.operator_settings import Gossip, Operator
-from micahold.program.structured import logger
+from micahold.program.operator_settings import GossipSettings, OperatorSettings
+from micahold.program.structured import bind_logger
 
 ROOT = Path(__file__).parent.parent
 LEAST = '(gossip (listen "127.0.0.1:7946") (keys "a.keys") (members "m.keys") {more})'
 
 
-def read(text: str) -> Operator:
-    return read_text(text, "file", Path("/etc/micahold"))
+def read(text: str) -> OperatorSettings:
+    return parse_settings(text, "file", Path("/etc/micahold"))
 
 
 def problems(text: str) -> list[str]:
@@ -51,10 +51,10 @@
 
 
 def test_the_example_holds_every_setting_with_its_default() -> None:
-    example = read_file(str(ROOT / "deploy" / "operator.example.sexp")).gossip
+    example = read_settings_file(str(ROOT / "deploy" / "operator.example.sexp")).gossip
     assert example is not None
     text = (ROOT / "deploy" / "operator.example.sexp").read_text()
-    for name in Gossip.__struct_fields__:
+    for name in GossipSettings.__struct_fields__:
         assert f"({name}" in text
     least = read(LEAST.format(more="")).gossip
     assert least is not None
@@ -63,7 +63,7 @@
 
 
 def test_the_reference_is_the_generated_one() -> None:
-    assert (ROOT / "docs" / "operators" / "settings.md").read_text() == reference()
+    assert (ROOT / "docs" / "operators" / "settings.md").read_text() == render_reference()
 
 
 def test_every_error_is_found_in_one_pass_with_its_line_path_and_what_was_expected() -> None:
@@ -132,18 +132,18 @@
 def test_lines_are_found_where_the_expressions_begin(parts: list[str]) -> None:
     text = " ".join(parts)
     try:
-        items = parse(text, "file")
+        items = parse_expressions(text, "file")
     except OperatorFileError:
         return
-    assert len(items) == len(lines_of(text))
+    assert len(items) == len(expression_lines(text))
     assert all(1 <= one.line <= text.count("\n") + 1 for one in items)
 
 
 def test_what_can_change_in_service_is_told_from_what_needs_a_restart() -> None:
     old, new = read(LEAST.format(more="")), read(LEAST.format(more="(rate 8KiB/s) (period 2s)"))
-    assert changes(old, new) == (["gossip.rate"], ["gossip.period"])
-    assert changes(old, old) == ([], [])
-    assert changes(old, read("")) == ([], ["gossip"])
+    assert changed_settings(old, new) == (["gossip.rate"], ["gossip.period"])
+    assert changed_settings(old, old) == ([], [])
+    assert changed_settings(old, read("")) == ([], ["gossip"])
 
 
 @pytest.mark.parametrize(
@@ -151,7 +151,7 @@
 )
 def test_durations(word: str, seconds: float) -> None:
     assert units.duration(word) == pytest.approx(seconds)
-    assert units.duration(units.show_duration(5.0)) == 5.0
+    assert units.duration(units.format_duration(5.0)) == 5.0
 
 
 @pytest.mark.parametrize("word", ["", "5", "s", "-5s", "5 s", "5m", "1e3s", "5KiB", "5s/s", "nan", "inf"])
@@ -166,7 +166,7 @@
     def log(event: str, **fields: object) -> None:
         lines.append((event, fields))
 
-    bound = logger(log, part="gossip")
+    bound = bind_logger(log, part="gossip")
     bound.info("member", name="a")
     bound.bind(run=3).warning("late", s=0.5)
     assert lines == [
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -13,10 +13,10 @@
 from twisted.internet.testing import MemoryReactorClock
 
 from micahold.counters import Counters
-from micahold.program.collector import LOOK_S, TOO_MANY, Collector
-from micahold.program.configuration import MOST_ACCEPTED, parse_configuration
-from micahold.program.front import FLUSH_S, NOTICE_S, Front, Phase, listen_error
-from micahold.program.log import MOST_KEPT, Log
+from micahold.program.collector import CHECK_INTERVAL_S, MAX_GROWTH_WHEN_BUSY, GarbageCollector
+from micahold.program.configuration import MAX_ACCEPTS_PER_ITERATION, parse_configuration
+from micahold.program.front import FLUSH_TIMEOUT_S, NOTICE_PERIOD_S, Front, Phase, format_listen_error
+from micahold.program.log import MAX_BUFFERED_BYTES, Log
 from micahold.settings import FormatError
 from micahold.transport.timers import MOST_DEAD, Timers
 from tests.mysql_client import ask, login, packets
@@ -33,14 +33,17 @@
     assert read.listen == ("127.0.0.1", 4100)
     assert read.channel == ("127.0.0.1", 7070)
     assert read.cursor == 3
-    assert [entry.engine for news in read.known for entry in news.update.entries] == ["s-1"]
+    assert [entry.engine for news in read.initial_list_events for entry in news.update.entries] == ["s-1"]
     assert read.seed == 0x8C1F30D27A5BE964
 
 
 def test_descriptors_are_divided_with_a_reserve_and_bound_the_open_queries() -> None:
     read = parse_configuration(orjson.dumps(configuration()))
-    assert read.most_engine_connections + read.most_client_connections < 1024 - 1024 // 8 - MOST_ACCEPTED
-    assert read.most_client_connections >= 1024 // 3
+    assert (
+        read.max_engine_connections + read.max_client_connections
+        < 1024 - 1024 // 8 - MAX_ACCEPTS_PER_ITERATION
+    )
+    assert read.max_client_connections >= 1024 // 3
     assert read.settings.limits.max_open == 1024 // 3
 
 
@@ -74,10 +77,10 @@
     reader, writer = os.pipe()
     counters = Counters()
     log = Log(writer, lambda: 1.0, counters)
-    log.write_later(lambda: None)
+    log.defer_flushes(lambda: None)
     while log.flush():
         log("filling", text="x" * 1000)
-    for _ in range(MOST_KEPT // 1000 + 10):
+    for _ in range(MAX_BUFFERED_BYTES // 1000 + 10):
         log("more", text="x" * 1000)
     assert counters.values["log_lines_lost"] > 0
     os.set_blocking(reader, False)
@@ -137,25 +140,25 @@
     assert fired == ["after"]
 
 
-# Collector
+# GarbageCollector
 
 
 def test_garbage_is_collected_when_nobody_waits_or_too_much_has_piled_up(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    clock, counted, idle, grown = MemoryReactorClock(), list[str](), [False], [TOO_MANY]
+    clock, counted, idle, grown = MemoryReactorClock(), list[str](), [False], [MAX_GROWTH_WHEN_BUSY]
     monkeypatch.setattr(gc, "collect", lambda: 0)
     monkeypatch.setattr(gc, "freeze", lambda: None)
     monkeypatch.setattr(gc, "disable", lambda: None)
     monkeypatch.setattr(gc, "get_count", lambda: (grown[0], 0, 0))
-    Collector(clock, lambda: idle[0], counted.append).start()
-    clock.advance(LOOK_S)
+    GarbageCollector(clock, lambda: idle[0], counted.append).start()
+    clock.advance(CHECK_INTERVAL_S)
     assert counted == []
     idle[0] = True
-    clock.advance(LOOK_S)
+    clock.advance(CHECK_INTERVAL_S)
     assert len(counted) == 1
-    idle[0], grown[0] = False, TOO_MANY + 1
-    clock.advance(LOOK_S)
+    idle[0], grown[0] = False, MAX_GROWTH_WHEN_BUSY + 1
+    clock.advance(CHECK_INTERVAL_S)
     assert len(counted) == 2
 
 
@@ -165,13 +168,13 @@
 class Reactor(MemoryReactorClock):
     """In memory, with what the front's own reactor adds."""
 
-    def unread_for(self) -> float:
+    def max_read_delay(self) -> float:
         return 0.0
 
-    def late_by(self) -> float:
+    def timer_lateness(self) -> float:
         return 0.0
 
-    def call_at_turn_end(self, act: Any) -> None:
+    def call_at_iteration_end(self, act: Any) -> None:
         self.callLater(0, act)
 
 
@@ -180,7 +183,7 @@
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         super().__init__()
-        monkeypatch.setattr(Collector, "start", lambda self: None)
+        monkeypatch.setattr(GarbageCollector, "start", lambda self: None)
         self.clock = Reactor()
         self.logged: list[tuple[str, dict[str, Any]]] = []
         self.stopped = False
@@ -220,15 +223,15 @@
     def __call__(self, event: str, **fields: Any) -> None:
         self.logged.append((event, fields))
 
-    def write_later(self, schedule: Any) -> None:
+    def defer_flushes(self, schedule: Any) -> None:
         pass
 
 
 def test_with_nothing_open_it_ends_after_the_notice(monkeypatch: pytest.MonkeyPatch) -> None:
     run = Run(monkeypatch)
-    run.front.told_to_end()
-    run.front.told_to_end()
-    run.pass_time(NOTICE_S - 0.05)
+    run.front.begin_shutdown()
+    run.front.begin_shutdown()
+    run.pass_time(NOTICE_PERIOD_S - 0.05)
     assert run.front.phase is Phase.NOTICE
     run.pass_time(0.2)
     assert run.stopped
@@ -240,11 +243,11 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     run = Run(monkeypatch)
-    run.front.told_to_end()
-    run.pass_time(NOTICE_S / 2)
+    run.front.begin_shutdown()
+    run.pass_time(NOTICE_PERIOD_S / 2)
     session, transport = run.client()
     session.dataReceived(ask(wait=8000))
-    run.pass_time(NOTICE_S)
+    run.pass_time(NOTICE_PERIOD_S)
     assert not run.stopped
     assert run.front.phase is Phase.DRAINING
     run.pass_time(3.0)
@@ -257,11 +260,11 @@
     session, _ = run.client()
     session.dataReceived(ask(wait=60000))
     run.turn()
-    run.front.told_to_end()
-    run.pass_time(NOTICE_S + 0.1)
+    run.front.begin_shutdown()
+    run.pass_time(NOTICE_PERIOD_S + 0.1)
     assert not run.stopped
     session.connectionLost()
-    run.pass_time(0.1 + FLUSH_S)
+    run.pass_time(0.1 + FLUSH_TIMEOUT_S)
     assert run.stopped
 
 
@@ -274,5 +277,7 @@
 
 
 def test_an_address_in_use_is_one_line() -> None:
-    text = listen_error(error.CannotListenError("127.0.0.1", 4100, OSError(errno.EADDRINUSE, "in use")))
+    text = format_listen_error(
+        error.CannotListenError("127.0.0.1", 4100, OSError(errno.EADDRINUSE, "in use"))
+    )
     assert "127.0.0.1:4100" in text and "\n" not in text
