--- a/tests/test_benchlink.py
+++ b/tests/test_benchlink.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import ast
 import json
 import os
 import subprocess
@@ -18,6 +19,7 @@
 from micahold.settings import FormatError, decode_settings
 
 ROOT = Path(__file__).parent.parent
+DECIDING_ACTIONS = {"Send", "Refuse", "Fail"}  # which engine, whether to try again, what to turn away
 ENV: dict[str, Any] = {
     "bounds": {
         "cancel": True, "connect_timeout_ns": 250000000, "cpu_us_per_s": 100, "max_attempts": 6,
@@ -293,11 +295,54 @@
     assert len(done.stderr.splitlines()) == 1
 
 
-def test_the_module_of_the_decisions_keeps_its_size() -> None:
+def constructed_actions(text: str) -> set[str]:
+    """The deciding actions that a module constructs by a call; patterns and annotations do not count.
+
+    Names are followed through ``import ... as``; an attribute counts by its last part.
+    """
+    tree = ast.parse(text)
+    original_names = {
+        alias.asname: alias.name
+        for node in ast.walk(tree)
+        if isinstance(node, ast.ImportFrom)
+        for alias in node.names
+        if alias.asname is not None
+    }
+    called = set()
+    for node in ast.walk(tree):
+        if isinstance(node, ast.Call) and isinstance(node.func, ast.Name):
+            called.add(original_names.get(node.func.id, node.func.id))
+        elif isinstance(node, ast.Call) and isinstance(node.func, ast.Attribute):
+            called.add(node.func.attr)
+    return called & DECIDING_ACTIONS
+
+
+def test_exactly_the_modules_of_the_policy_list_construct_send_refuse_and_fail() -> None:
+    """Guards against a choice of engine, a retry or a refusal that is decided outside the listed modules."""
     policy = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["policy"]
     assert policy == ["micahold/controller.py"]
+    constructed = {
+        path.relative_to(ROOT).as_posix(): constructed_actions(path.read_text())
+        for path in (ROOT / "micahold").rglob("*.py")
+    }
+    assert {path for path, actions in constructed.items() if actions} == set(policy)
+    assert set().union(*(constructed[path] for path in policy)) == DECIDING_ACTIONS
     text = (ROOT / policy[0]).read_text()
     lines = text.splitlines()
-    assert sum(1 for line in lines if line.strip()) <= 660
     assert max(map(len, lines)) <= 110
     assert "micahold/interface.py" in lines[0]
+
+
+@pytest.mark.parametrize(
+    ("text", "actions"),
+    [
+        ("api.Send(1, 'a')", {"Send"}),
+        ("from micahold.interface import Refuse\nRefuse(1)", {"Refuse"}),
+        ("from micahold.interface import Fail as Lost\nLost(1)", {"Fail"}),
+        ("import micahold.interface\nmicahold.interface.Fail(1)", {"Fail"}),
+        ("match action:\n    case api.Send(query) | api.Refuse(query): pass", set()),
+        ("def f(x: api.Fail) -> None: isinstance(x, api.Send)", set()),
+    ],
+)
+def test_a_call_constructs_an_action_and_a_pattern_does_not(text: str, actions: set[str]) -> None:
+    assert constructed_actions(text) == actions
