--- a/micahold/benchlink/codec.py
+++ b/micahold/benchlink/codec.py
@@ -33,7 +33,7 @@
     50: api.Outcome.CONNECT_FAILED,
     60: api.Outcome.RESET,
     70: api.Outcome.CANCELLED,
-    80: api.Outcome.MOOT,
+    80: api.Outcome.NOT_STARTED,
 }
 
 
@@ -51,7 +51,7 @@
             zone=int(item.get("failure_domain", 0)),
             kind=int(item.get("hw", 0)),
             cell=int(item.get("unit_group", 0)),
-            started=seconds(item.get("came_up_ns")),
+            started_at=seconds(item.get("came_up_ns")),
             weight=float(item.get("share", 1.0)),
         )
     except KeyError as error:
@@ -64,14 +64,14 @@
     cost = item.get("est_cost_ns")
     return api.QueryArrived(
         query=int(item["txn"]),
-        query_class=int(item.get("qos") or 0),
-        tenant=int(item.get("party") or 0),
+        class_index=int(item.get("qos") or 0),
+        tenant_index=int(item.get("party") or 0),
         deadline=seconds(item["deadline_ns"]),
-        key=item.get("relation"),
-        cost=seconds(cost) if cost else None,
-        memory_mb=float(item["mem_mb"]) if item.get("mem_mb") else None,
-        tables=int(item.get("dataset") or 0),
-        is_repeat=bool(item.get("repeat", False)),
+        ordering_key=item.get("relation"),
+        estimated_cost_s=seconds(cost) if cost else None,
+        estimated_memory_mb=float(item["mem_mb"]) if item.get("mem_mb") else None,
+        table_group=int(item.get("dataset") or 0),
+        is_client_retry=bool(item.get("repeat", False)),
         is_write=bool(item.get("is_write", False)),
     )
 
@@ -82,15 +82,15 @@
     )
 
 
-def _note(item: Json) -> api.AttemptNote | None:
+def _note(item: Json) -> api.AttemptStatus | None:
     kind = int(item["kind"])
     if kind not in (1, 2, 3):
         return None
-    return api.AttemptNote(
+    return api.AttemptStatus(
         query=int(item["txn"]),
         attempt=int(item.get("try") or 0),
         engine=str(item["engine"]),
-        kind=api.NoteKind(kind),
+        kind=api.AttemptStatusKind(kind),
         value=float(item.get("level") or 0.0),
     )
 
@@ -102,9 +102,9 @@
         attempt=int(item.get("try") or 0),
         engine=str(item["engine"]),
         outcome=choice(OUTCOMES, item.get("result"), "result"),
-        elapsed=seconds(item.get("cost_time_ns")),
-        settled=bool(item.get("settled", False)),
-        work=bill // WORK_UNIT / 1000,
+        elapsed_s=seconds(item.get("cost_time_ns")),
+        query_settled=bool(item.get("settled", False)),
+        work_s=bill // WORK_UNIT / 1000,
         memory_mb=float(bill % WORK_UNIT * MEMORY_STEP_MB),
         report=decode_report(item.get("health_info")),
     )
@@ -114,7 +114,7 @@
     return api.ProbeEnded(
         engine=str(item["engine"]),
         outcome=choice(OUTCOMES, item.get("result"), "result"),
-        elapsed=seconds(item.get("cost_time_ns")),
+        elapsed_s=seconds(item.get("cost_time_ns")),
         report=decode_report(item.get("health_info")),
     )
 
--- a/micahold/benchlink/host.py
+++ b/micahold/benchlink/host.py
@@ -84,7 +84,7 @@
         requests, engines = self.named[who]
         if isinstance(event, api.QueryArrived):
             requests.add(event.query)
-        elif isinstance(event, api.AttemptEnded | api.AttemptNote | api.AttemptStreaming):
+        elif isinstance(event, api.AttemptEnded | api.AttemptStatus | api.AttemptStreaming):
             if event.query not in requests:
                 complain(f"{who}: unknown request {event.query}")
             elif event.engine not in engines:
--- a/micahold/interface.py
+++ b/micahold/interface.py
@@ -10,7 +10,7 @@
 from enum import Enum
 
 
-class Effect(Enum):
+class RepeatSafety(Enum):
     """What a second run of a query does."""
 
     SAFE = "safe"
@@ -36,16 +36,16 @@
     CONNECT_FAILED = "connect_failed"
     RESET = "reset"
     CANCELLED = "cancelled"
-    MOOT = "moot"
+    NOT_STARTED = "moot"
 
 
-class Reason(Enum):
+class GiveUpReason(Enum):
     """Why a query was given up; for counters and the log."""
 
-    PLACES = "places"  # no place open for its class
-    REACH = "reach"  # it can't end before its deadline even at an engine's best
-    WAIT = "wait"  # held until its time was up: no engine had room, or none may run it
-    TRIES = "tries"  # its attempts brought nothing, and no other is allowed or in time
+    NO_OPEN_SLOT = "places"  # no place open for its class
+    DEADLINE_UNREACHABLE = "reach"  # it can't end before its deadline even at an engine's best
+    WAIT_EXPIRED = "wait"  # held until its time was up: no engine had room, or none may run it
+    ATTEMPTS_EXHAUSTED = "tries"  # its attempts brought nothing, and no other is allowed or in time
 
 
 class EngineState(Enum):
@@ -65,7 +65,7 @@
     UNAVAILABLE = "unavailable"
 
 
-class NoteKind(Enum):
+class AttemptStatusKind(Enum):
     """What a note about a running attempt tells."""
 
     PROGRESS = 1
@@ -80,20 +80,20 @@
 
     name: str = ""
     worth: float = 1.0
-    late_share: float = 0.0
-    aim: float = 1.0
-    aim_stretch: float = 0.0
-    deadline: float = 1.0
-    effect: Effect = Effect.SAFE
+    late_worth_share: float = 0.0
+    soft_deadline_s: float = 1.0
+    soft_deadline_stretch: float = 0.0
+    deadline_s: float = 1.0
+    repeat_safety: RepeatSafety = RepeatSafety.SAFE
     dedup_scope: DedupScope = DedupScope.ALL
-    dedup_window: float = 0.0
+    dedup_window_s: float = 0.0
     streamed: bool = False
-    in_order: bool = False
+    ordered_by_key: bool = False
     allowed_kinds: frozenset[int] | None = None
     allowed_zones: frozenset[int] | None = None
     threads: int = 1
-    is_load: bool = False
-    waits_for_loads: bool = False
+    is_data_load: bool = False
+    waits_for_data_loads: bool = False
 
 
 @dataclass(slots=True, frozen=True)
@@ -118,16 +118,16 @@
 class Limits:
     """What the site allows."""
 
-    cancel: bool = False
-    probing: bool = False
-    peer_messages: bool = False
-    retry_hints: bool = False
-    second_copies: bool = False
+    cancel_allowed: bool = False
+    probing_allowed: bool = False
+    peer_messages_allowed: bool = False
+    retry_hints_allowed: bool = False
+    second_copies_allowed: bool = False
     max_attempts: int = 1
-    max_open: int = 0
-    max_retry_after: float = 0.0
-    connect_timeout: float = 0.0
-    idle_close: float = 0.0
+    max_open_queries: int = 0
+    max_retry_after_s: float = 0.0
+    connect_timeout_s: float = 0.0
+    idle_timeout_s: float = 0.0
     streams_per_connection: int = 1
     cpu_us_per_s: float = 0.0
     cpu_us_per_query: float = 0.0
@@ -137,17 +137,17 @@
 class Rules:
     """Figures of the rules. ``retry_window`` is 0 where further attempts are not rationed."""
 
-    answer_slack: float = 0.0
-    ask_within: float = 0.0
-    drain_grace: float = 0.0
-    cold_from: float = 1.0
-    cold_time: float = 0.0
-    cold_multiple: float = 1.0
-    cold_window: float = 0.0
-    order_settle: float = 0.0
-    retry_free: float = 0.0
-    retry_share: float = 0.0
-    retry_window: float = 0.0
+    answer_slack_s: float = 0.0
+    ask_within_s: float = 0.0
+    drain_grace_s: float = 0.0
+    cold_initial_speed: float = 1.0
+    cold_duration_s: float = 0.0
+    cold_budget_multiple: float = 1.0
+    cold_window_s: float = 0.0
+    order_settle_s: float = 0.0
+    retry_budget_floor: float = 0.0
+    retry_budget_ratio: float = 0.0
+    retry_window_s: float = 0.0
 
 
 @dataclass(slots=True, frozen=True)
@@ -164,11 +164,11 @@
 class Settings:
     """All that a gateway is told at its start."""
 
-    gateway: int = 0
-    gateways: int = 1
+    gateway_index: int = 0
+    gateway_count: int = 1
     zone: int = 0
     zones: tuple[str, ...] = ()
-    kinds: tuple[EngineKind, ...] = ()
+    engine_kinds: tuple[EngineKind, ...] = ()
     classes: tuple[QueryClass, ...] = ()
     tenants: tuple[Tenant, ...] = ()
     tiers: tuple[str, ...] = ()
@@ -182,16 +182,16 @@
     clients_mark_retries: bool = False
     over_share_worth: float = 1.0
     worth_by_work: bool = False
-    weights: str = ""
+    weight_source: str = ""
     report_source: str = ""
     report_columns: tuple[str, ...] = ()
-    tick: float = 0.0
-    grants_heeded: bool = False
-    priorities_heeded: bool = False
-    most_grant: float = 0.0
-    when_short: str = ""
-    note_period: float = 0.0
-    tells_cost: bool = False
+    tick_s: float = 0.0
+    memory_grants_honored: bool = False
+    priorities_honored: bool = False
+    max_grant: float = 0.0
+    memory_shortage_policy: str = ""
+    status_period_s: float = 0.0
+    engines_report_cost: bool = False
 
 
 @dataclass(slots=True, frozen=True)
@@ -203,7 +203,7 @@
     zone: int = 0
     kind: int = 0
     cell: int = 0
-    started: float = 0.0
+    started_at: float = 0.0
     weight: float = 1.0
 
 
@@ -213,12 +213,12 @@
 
     in_flight: float | None = None
     queued: float | None = None
-    busy: float | None = None
-    latency: float | None = None
-    rate: float | None = None
+    busy_share: float | None = None
+    latency_s: float | None = None
+    rate_per_s: float | None = None
     error_rate: float | None = None
-    memory_granted: float | None = None
-    disks_busy: float | None = None
+    memory_granted_share: float | None = None
+    disks_busy_share: float | None = None
 
 
 # Events. They and the actions are not frozen: frozen ones take three times as long to make.
@@ -238,14 +238,14 @@
     """A query that this gateway now owes one final answer; estimates are None where not told."""
 
     query: int
-    query_class: int
-    tenant: int
+    class_index: int
+    tenant_index: int
     deadline: float
-    key: int | None = None
-    cost: float | None = None
-    memory_mb: float | None = None
-    tables: int = 0
-    is_repeat: bool = False
+    ordering_key: int | None = None
+    estimated_cost_s: float | None = None
+    estimated_memory_mb: float | None = None
+    table_group: int = 0
+    is_client_retry: bool = False
     is_write: bool = False
 
 
@@ -256,17 +256,17 @@
     query: int
     attempt: int
     engine: str
-    elapsed: float
+    elapsed_s: float
 
 
 @dataclass(slots=True)
-class AttemptNote:
+class AttemptStatus:
     """Word on an attempt that is out: share done, MB missing, or what it waits for (1 memory, 2 a load)."""
 
     query: int
     attempt: int
     engine: str
-    kind: NoteKind
+    kind: AttemptStatusKind
     value: float = 0.0
 
 
@@ -278,9 +278,9 @@
     attempt: int
     engine: str
     outcome: Outcome
-    elapsed: float
-    settled: bool = False
-    work: float = 0.0
+    elapsed_s: float
+    query_settled: bool = False
+    work_s: float = 0.0
     memory_mb: float = 0.0
     report: LoadReport | None = None
 
@@ -300,10 +300,10 @@
 
 
 @dataclass(slots=True)
-class Closing:
+class GatewayClosing:
     """This gateway ends: what it has and what comes has to be answered by then."""
 
-    by: float
+    answer_by: float
 
 
 @dataclass(slots=True)
@@ -312,7 +312,7 @@
 
     engine: str
     outcome: Outcome
-    elapsed: float
+    elapsed_s: float
     report: LoadReport | None = None
 
 
@@ -325,34 +325,34 @@
 
 
 @dataclass(slots=True)
-class Hearsay:
+class PeerReport:
     """What the other gateways say of engines: each replaces the one before and is void after ``until``."""
 
     failing: frozenset[str] = frozenset()
     draining: frozenset[str] = frozenset()
-    until: float = 0.0
+    valid_until: float = 0.0
 
 
 @dataclass(slots=True)
 class GroupSize:
     """Gateways: ``bound`` divides what a rule allows, ``living`` what is only efficiency."""
 
-    bound: int
-    living: int
+    upper_bound: int
+    alive: int
 
 
 Event = (
     ListUpdate
     | QueryArrived
     | AttemptStreaming
-    | AttemptNote
+    | AttemptStatus
     | AttemptEnded
     | QueryDropped
     | TimerFired
-    | Closing
+    | GatewayClosing
     | ProbeEnded
     | PeerMessage
-    | Hearsay
+    | PeerReport
     | GroupSize
 )
 
@@ -384,7 +384,7 @@
 
     query: int
     retry_after: float = 0.0
-    reason: Reason = field(default=Reason.WAIT, compare=False, repr=False)
+    reason: GiveUpReason = field(default=GiveUpReason.WAIT_EXPIRED, compare=False, repr=False)
 
 
 @dataclass(slots=True)
@@ -392,7 +392,7 @@
     """Final answer: failed, promising nothing."""
 
     query: int
-    reason: Reason = field(default=Reason.WAIT, compare=False, repr=False)
+    reason: GiveUpReason = field(default=GiveUpReason.WAIT_EXPIRED, compare=False, repr=False)
 
 
 @dataclass(slots=True)
--- a/micahold/laboratory/hearsay_model.py
+++ b/micahold/laboratory/hearsay_model.py
@@ -18,9 +18,24 @@
 from micahold.membership.group import Group
 
 SERVICE_S, ERROR_S = 0.02, 0.001
-CLASSES = (api.QueryClass("lookup", worth=1.0, aim=1.0, aim_stretch=2.0, deadline=5.0, late_share=0.1),)
-LIMITS = api.Limits(cancel=True, retry_hints=True, max_attempts=4, max_open=1000, max_retry_after=1.0)
-RULES = api.Rules(retry_free=5.0, retry_share=0.2, retry_window=10.0, answer_slack=0.02)
+CLASSES = (
+    api.QueryClass(
+        "lookup",
+        worth=1.0,
+        soft_deadline_s=1.0,
+        soft_deadline_stretch=2.0,
+        deadline_s=5.0,
+        late_worth_share=0.1,
+    ),
+)
+LIMITS = api.Limits(
+    cancel_allowed=True,
+    retry_hints_allowed=True,
+    max_attempts=4,
+    max_open_queries=1000,
+    max_retry_after_s=1.0,
+)
+RULES = api.Rules(retry_budget_floor=5.0, retry_budget_ratio=0.2, retry_window_s=10.0, answer_slack_s=0.02)
 TICK_S, TELL_S = 0.05, 0.1
 
 ALONE, HEARSAY, ANY_PEER = "alone", "hearsay", "any peer"
@@ -51,10 +66,10 @@
     def __init__(self, fleet: Fleet, node: Node, number: int) -> None:
         self.fleet, self.node = fleet, node
         settings = api.Settings(
-            gateway=number,
-            gateways=fleet.gateways,
+            gateway_index=number,
+            gateway_count=fleet.gateways,
             zones=("a",),
-            kinds=(api.EngineKind("std", 16.0, 32000.0),),
+            engine_kinds=(api.EngineKind("std", 16.0, 32000.0),),
             classes=CLASSES,
             tenants=(api.Tenant("one", 1.0),),
             limits=LIMITS,
@@ -88,7 +103,12 @@
         self.asked += 1
         self.fleet.tally.asked += 1
         event = api.QueryArrived(
-            self.asked, 0, 0, self.now + CLASSES[0].deadline, cost=SERVICE_S, tables=self.random.randrange(40)
+            self.asked,
+            0,
+            0,
+            self.now + CLASSES[0].deadline_s,
+            estimated_cost_s=SERVICE_S,
+            table_group=self.random.randrange(40),
         )
         self.fleet.net.at(self.now + self.random.expovariate(self.fleet.rate), self.ask)
         self.tell(event)
@@ -97,7 +117,7 @@
         fails = engine == self.fleet.failing
         spoilt = fails or self.random.random() < self.fleet.sporadic
         took = ERROR_S if fails else self.random.expovariate(1 / SERVICE_S)
-        attempt = self.controller.queries[query].attempts - 1
+        attempt = self.controller.queries[query].attempt_count - 1
         self.fleet.net.at(self.now + took, self._ended, query, attempt, engine, spoilt, took)
 
     def _ended(self, query: int, attempt: int, engine: str, spoilt: bool, took: float) -> None:
@@ -108,7 +128,7 @@
             tally.sporadic += spoilt
         tally.served += not spoilt
         outcome = api.Outcome.ERROR if spoilt else api.Outcome.OK
-        self.tell(api.AttemptEnded(query, attempt, engine, outcome, took, settled=not spoilt))
+        self.tell(api.AttemptEnded(query, attempt, engine, outcome, took, query_settled=not spoilt))
 
     def tell_group(self) -> None:
         """What the group knows by now, to the decisions."""
@@ -126,11 +146,11 @@
                 for engine, attempts, failures in voice.rows:
                     view = self.controller.router.engines.get(engine)
                     if view is not None and word(attempts, failures) is Word.BAD:
-                        view.failing, view.faded, view.on_trial = 1.0, self.now, True
+                        view.failure_level, view.failure_decayed_at, view.half_open = 1.0, self.now, True
 
     def on_trial(self, engine: str) -> bool:
         view = self.controller.router.engines[engine]
-        return view.quarantined(self.now)
+        return view.is_quarantined(self.now)
 
 
 class Fleet:
--- a/micahold/membership/bridge.py
+++ b/micahold/membership/bridge.py
@@ -1,8 +1,8 @@
 """Between the group and the decisions, both ways, as events; pure.
 
 From the exchange come the events that it tells the decision module anyway: attempts that ended and the engine
-list. To it go ``Hearsay`` and ``GroupSize``: at a change, and hearsay once a second besides, since it is void
-after a time.
+list. To it go ``PeerReport`` and ``GroupSize``: at a change, and peer reports once a second besides, since
+they are void after a time.
 """
 
 from __future__ import annotations
@@ -12,7 +12,8 @@
 
 AGAIN_S = 1.0
 FAILURES = frozenset({api.Outcome.ERROR, api.Outcome.CONNECT_FAILED, api.Outcome.RESET, api.Outcome.TIMEOUT})
-SILENT = frozenset({api.Outcome.FULL, api.Outcome.CANCELLED, api.Outcome.MOOT})  # say nothing of the engine
+# These say nothing of the engine.
+SILENT = frozenset({api.Outcome.FULL, api.Outcome.CANCELLED, api.Outcome.NOT_STARTED})
 
 
 class Bridge:
@@ -53,7 +54,7 @@
             said = (verdict.failing, verdict.draining)
             before = (told.failing, told.draining) if told is not None else (frozenset(), frozenset())
             if said != before or (any(said) and now >= self._told_at + AGAIN_S):
-                events.append(api.Hearsay(*said, verdict.until))
+                events.append(api.PeerReport(*said, verdict.until))
                 self._told_at = now
         self._told = verdict
         return events
--- a/micahold/membership/service.py
+++ b/micahold/membership/service.py
@@ -152,7 +152,7 @@
         self.bridge.hearsay = hearsay
         self.group.reconfigure(self.now(), options, hand, keyring)
         if not hearsay:
-            self.tell(api.Hearsay())
+            self.tell(api.PeerReport())
         self._after()
 
     def counters(self) -> dict[str, int]:
--- a/micahold/program/configuration.py
+++ b/micahold/program/configuration.py
@@ -65,9 +65,9 @@
         limits = item.get("limits") or {}
         sockets = int(limits.get("sockets") or DEFAULT_SOCKETS)
         # Clients hold a third of the descriptors at most and send one query at a time on a connection.
-        places = min(settings.limits.max_open or sockets, sockets // 3)
-        settings = replace(settings, limits=replace(settings.limits, max_open=places))
-        kinds = tuple(kind.name for kind in settings.kinds)
+        places = min(settings.limits.max_open_queries or sockets, sockets // 3)
+        settings = replace(settings, limits=replace(settings.limits, max_open_queries=places))
+        kinds = tuple(kind.name for kind in settings.engine_kinds)
         known = item.get("known") or {}
         news = tuple(decode_news(event, settings.zones, kinds) for event in known.get("cmds") or ())
         return Configuration(
--- a/micahold/program/front.py
+++ b/micahold/program/front.py
@@ -87,8 +87,8 @@
             self.directory,
             counters,
             configuration.most_engine_connections,
-            settings.limits.connect_timeout,
-            settings.limits.idle_close,
+            settings.limits.connect_timeout_s,
+            settings.limits.idle_timeout_s,
         )
         self.exchange = Exchange(
             settings,
@@ -151,7 +151,9 @@
         """False where it can't be read."""
         settings = self.configuration.settings
         try:
-            news: ListNews = parse_news(data, settings.zones, tuple(kind.name for kind in settings.kinds))
+            news: ListNews = parse_news(
+                data, settings.zones, tuple(kind.name for kind in settings.engine_kinds)
+            )
         except ProtocolError as problem:
             self.counters.add("list_events_unreadable")
             self.log("list_event_unreadable", error=str(problem))
@@ -194,7 +196,7 @@
         if self.phase is not Phase.SERVING:
             return
         self._enter(Phase.NOTICE)
-        longest = max((one.deadline for one in self.configuration.settings.classes), default=0.0)
+        longest = max((one.deadline_s for one in self.configuration.settings.classes), default=0.0)
         kill_after = min(longest, LONGEST_COUNTED_S) + NOTICE_S
         left = max(NOTICE_S, kill_after - BEFORE_KILL_S - FLUSH_S)
         self._give_up_at = self.clock.seconds() + left
--- a/micahold/program/operator.py
+++ b/micahold/program/operator.py
@@ -53,7 +53,9 @@
         self.gossip: Gossip | None = None
         configuration = front.configuration
         if self.settings.gossip is not None and hand is not None and keyring is not None:
-            options = options_of(self.settings.gossip, configuration.name, configuration.settings.gateways)
+            options = options_of(
+                self.settings.gossip, configuration.name, configuration.settings.gateway_count
+            )
             if options.name not in keyring.keys:
                 raise OperatorFileError([f"{self.settings.gossip.members}: no member {options.name}"])
             group = Group(options, hand, keyring, now(), configuration.seed)
@@ -94,8 +96,8 @@
         old, new = self.settings.gossip, settings.gossip
         if self.gossip is not None and old is not None and new is not None and hand and keyring:
             configuration = self.front.configuration
-            told = options_of(old, configuration.name, configuration.settings.gateways)
-            fresh = options_of(new, configuration.name, configuration.settings.gateways)
+            told = options_of(old, configuration.name, configuration.settings.gateway_count)
+            fresh = options_of(new, configuration.name, configuration.settings.gateway_count)
             if told.name not in keyring.keys:
                 self.log("operator_reload_refused", errors=[f"{new.members}: no member {told.name}"])
                 return
--- a/micahold/protocol/engine_list.py
+++ b/micahold/protocol/engine_list.py
@@ -56,7 +56,7 @@
                     zone=_place(zones, member.get("locality", 0)),
                     kind=_place(kinds, member.get("flavor", 0)),
                     cell=int(member.get("cell") or 0),
-                    started=float(member.get("up_since_ms") or 0) / 1000,
+                    started_at=float(member.get("up_since_ms") or 0) / 1000,
                     weight=float(member.get("size") or 1.0),
                 )
             )
--- a/micahold/routing/exchange.py
+++ b/micahold/routing/exchange.py
@@ -111,11 +111,11 @@
             raise Unusable("unknown tenant")
         if query.id in self._ids:
             raise Unusable("this id is open already")
-        if query.wait > MOST_WAITS * self.settings.classes[query_class].deadline:
+        if query.wait > MOST_WAITS * self.settings.classes[query_class].deadline_s:
             raise Unusable("field wait is out of range")
         if left <= 0:
             raise Unusable("past its wait on arrival")
-        if self.settings.classes[query_class].effect is api.Effect.KEYED and query.token is None:
+        if self.settings.classes[query_class].repeat_safety is api.RepeatSafety.KEYED and query.token is None:
             raise Unusable("field once is missing")
         self._last += 1
         number = self._last
@@ -127,17 +127,17 @@
         self.counters.add("queries_taken")
         self.counters.most("queries_open", self.unanswered)
         # Should the decisions ever miss a deadline, the client still gets its answer within the slack.
-        slack = self.settings.rules.answer_slack
+        slack = self.settings.rules.answer_slack_s
         item.overdue = self.timers.after(left + slack, self._overdue, number)
         self._happened(
             api.QueryArrived(
                 query=number,
-                query_class=query_class,
-                tenant=tenant,
+                class_index=query_class,
+                tenant_index=tenant,
                 deadline=item.deadline,
-                cost=query.cost,
-                memory_mb=query.memory_mb,
-                tables=query.tables,
+                estimated_cost_s=query.cost,
+                estimated_memory_mb=query.memory_mb,
+                table_group=query.tables,
                 is_write=query.is_write,
             )
         )
@@ -154,7 +154,7 @@
                 item.deadline = self._by
                 for attempt in item.attempts:
                     attempt.expire_by(self._by)
-        self._happened(api.Closing(self._by))
+        self._happened(api.GatewayClosing(self._by))
 
     def drop(self, ticket: int) -> None:
         """The client is gone."""
@@ -194,8 +194,8 @@
                 attempt=attempt,
                 engine=engine,
                 outcome=end.outcome,
-                elapsed=elapsed,
-                settled=item.answered,
+                elapsed_s=elapsed,
+                query_settled=item.answered,
                 report=decode_report(figures),
             )
         )
@@ -302,7 +302,7 @@
         index = len(item.attempts)
 
         def alive() -> None:
-            self._happened(api.AttemptNote(number, index, engine, api.NoteKind.ALIVE))
+            self._happened(api.AttemptStatus(number, index, engine, api.AttemptStatusKind.ALIVE))
 
         attempt = Attempt(order, self.pools, self.directory, self.counters, self.now, self.timers, alive)
         item.attempts.append(attempt)
@@ -311,7 +311,7 @@
         attempt.done.addCallback(self._attempt_ended, number, index, engine, now)
         attempt.done.addErrback(self._attempt_error)
         if item.answered or index >= self.settings.limits.max_attempts:
-            attempt.give_up(api.Outcome.MOOT)
+            attempt.give_up(api.Outcome.NOT_STARTED)
         elif now >= until:
             attempt.give_up(api.Outcome.TIMEOUT)
         else:
@@ -323,7 +323,7 @@
     # Final answers
 
     def _answer(
-        self, number: int, kind: str, give: Callable[[Reply], None], why: api.Reason | None = None
+        self, number: int, kind: str, give: Callable[[Reply], None], why: api.GiveUpReason | None = None
     ) -> None:
         """The one final answer of a query; nothing where it has had that. ``why``: what the decisions say."""
         item = self.queries.get(number)
@@ -338,7 +338,7 @@
         except Exception as problem:  # ends that session alone
             self.log("answer_error", error=repr(problem))
 
-    def _close(self, number: int, item: OpenQuery, kind: str, why: api.Reason | None = None) -> None:
+    def _close(self, number: int, item: OpenQuery, kind: str, why: api.GiveUpReason | None = None) -> None:
         item.answered = True
         self.unanswered -= 1
         if item.overdue is not None and item.overdue.active():
--- a/micahold/settings.py
+++ b/micahold/settings.py
@@ -14,7 +14,11 @@
 
 NS_PER_S = 1_000_000_000
 
-EFFECTS = {"retryable": api.Effect.SAFE, "dedup": api.Effect.KEYED, "fragile": api.Effect.UNSAFE}
+EFFECTS = {
+    "retryable": api.RepeatSafety.SAFE,
+    "dedup": api.RepeatSafety.KEYED,
+    "fragile": api.RepeatSafety.UNSAFE,
+}
 SCOPES = {"all": api.DedupScope.ALL, "zone": api.DedupScope.ZONE, "cell": api.DedupScope.CELL}
 REPORT_SOURCES = {"piggyback": "answers", "pull": "probe", "silent": "none"}
 WHEN_SHORT = {"line_up": "wait", "cut": "shrink", "overcommit": "page"}
@@ -52,35 +56,35 @@
     return api.QueryClass(
         name=str(item.get("name", "")),
         worth=float(item.get("worth", 1.0)),
-        late_share=float(item.get("late_share", 0.0)),
-        aim=seconds(item.get("aim_ns")),
-        aim_stretch=float(item.get("aim_stretch", 0.0)),
-        deadline=seconds(item.get("deadline_ns")),
-        effect=choice(EFFECTS, item.get("effect", "fragile"), "effect"),
+        late_worth_share=float(item.get("late_share", 0.0)),
+        soft_deadline_s=seconds(item.get("aim_ns")),
+        soft_deadline_stretch=float(item.get("aim_stretch", 0.0)),
+        deadline_s=seconds(item.get("deadline_ns")),
+        repeat_safety=choice(EFFECTS, item.get("effect", "fragile"), "effect"),
         dedup_scope=choice(SCOPES, item.get("group", "all"), "group"),
-        dedup_window=seconds(item.get("window_ns")),
+        dedup_window_s=seconds(item.get("window_ns")),
         streamed=bool(item.get("stream", False)),
-        in_order=bool(item.get("sequential", False)),
+        ordered_by_key=bool(item.get("sequential", False)),
         allowed_kinds=_allowed(item, "served_on", list(env.get("models") or [])),
         allowed_zones=_allowed(item, "zones_open", list(env.get("zones") or [])),
         threads=max(1, int(_at(family.get("dop"), index, 1))),
-        is_load=bool(_at(family.get("is_load"), index, False)),
-        waits_for_loads=bool(_at(family.get("waits_for_loads"), index, False)),
+        is_data_load=bool(_at(family.get("is_load"), index, False)),
+        waits_for_data_loads=bool(_at(family.get("waits_for_loads"), index, False)),
     )
 
 
 def _limits(bounds: Json) -> api.Limits:
     return api.Limits(
-        cancel=bool(bounds.get("cancel", False)),
-        probing=bool(bounds.get("probing", False)),
-        peer_messages=bool(bounds.get("peer_messages", False)),
-        retry_hints=bool(bounds.get("retry_after", False)),
-        second_copies=bool(bounds.get("second_copies", False)),
+        cancel_allowed=bool(bounds.get("cancel", False)),
+        probing_allowed=bool(bounds.get("probing", False)),
+        peer_messages_allowed=bool(bounds.get("peer_messages", False)),
+        retry_hints_allowed=bool(bounds.get("retry_after", False)),
+        second_copies_allowed=bool(bounds.get("second_copies", False)),
         max_attempts=int(bounds.get("max_attempts", 1)),
-        max_open=int(bounds.get("max_open", 0)),
-        max_retry_after=seconds(bounds.get("max_retry_after_ns")),
-        connect_timeout=seconds(bounds.get("connect_timeout_ns")),
-        idle_close=seconds(bounds.get("idle_close_ns")),
+        max_open_queries=int(bounds.get("max_open", 0)),
+        max_retry_after_s=seconds(bounds.get("max_retry_after_ns")),
+        connect_timeout_s=seconds(bounds.get("connect_timeout_ns")),
+        idle_timeout_s=seconds(bounds.get("idle_close_ns")),
         streams_per_connection=int(bounds.get("streams_per_conn", 1)),
         cpu_us_per_s=float(bounds.get("cpu_us_per_s", 0.0)),
         cpu_us_per_query=float(bounds.get("cpu_us_per_request", 0.0)),
@@ -89,17 +93,17 @@
 
 def _rules(figures: Json) -> api.Rules:
     return api.Rules(
-        answer_slack=seconds(figures.get("answer_slack_ns")),
-        ask_within=seconds(figures.get("ask_within_ns")),
-        drain_grace=seconds(figures.get("drain_grace_ns")),
-        cold_from=float(figures.get("cold_from", 1.0)),
-        cold_time=seconds(figures.get("cold_ns")),
-        cold_multiple=float(figures.get("tip_multiple", 1.0)),
-        cold_window=seconds(figures.get("tip_after_ns")),
-        order_settle=seconds(figures.get("turn_gap_ns")),
-        retry_free=float(figures.get("extra_free", 0.0)),
-        retry_share=float(figures.get("repeat_ratio", 0.0)),
-        retry_window=seconds(figures.get("budget_span_ns")),
+        answer_slack_s=seconds(figures.get("answer_slack_ns")),
+        ask_within_s=seconds(figures.get("ask_within_ns")),
+        drain_grace_s=seconds(figures.get("drain_grace_ns")),
+        cold_initial_speed=float(figures.get("cold_from", 1.0)),
+        cold_duration_s=seconds(figures.get("cold_ns")),
+        cold_budget_multiple=float(figures.get("tip_multiple", 1.0)),
+        cold_window_s=seconds(figures.get("tip_after_ns")),
+        order_settle_s=seconds(figures.get("turn_gap_ns")),
+        retry_budget_floor=float(figures.get("extra_free", 0.0)),
+        retry_budget_ratio=float(figures.get("repeat_ratio", 0.0)),
+        retry_window_s=seconds(figures.get("budget_span_ns")),
     )
 
 
@@ -125,11 +129,11 @@
         )
         classes = tuple(_query_class(index, item, env) for index, item in enumerate(env.get("classes") or []))
         return api.Settings(
-            gateway=int(env.get("my_number", 0)),
-            gateways=max(1, int(env.get("siblings", 1))),
+            gateway_index=int(env.get("my_number", 0)),
+            gateway_count=max(1, int(env.get("siblings", 1))),
             zone=int(env.get("zone", 0)),
             zones=tuple(str(name) for name in env.get("zones") or []),
-            kinds=kinds,
+            engine_kinds=kinds,
             classes=classes,
             tenants=tenants,
             tiers=tuple(str(name) for name in env.get("layers") or []),
@@ -148,16 +152,18 @@
             clients_mark_retries=bool((env.get("clients") or {}).get("marks_retry", False)),
             over_share_worth=float(env.get("over_share_worth", 1.0)),
             worth_by_work=env.get("worth_by") == "work",
-            weights="none" if env.get("weight_source") == "silent" else str(env.get("weight_source", "none")),
+            weight_source="none"
+            if env.get("weight_source") == "silent"
+            else str(env.get("weight_source", "none")),
             report_source=REPORT_SOURCES.get(report.get("source", "silent"), "none"),
             report_columns=tuple(str(name) for name in report.get("columns") or []),
-            tick=seconds(env.get("round_ns")),
-            grants_heeded=bool(family.get("grants", False)),
-            priorities_heeded=bool(family.get("ranks_heeded", False)),
-            most_grant=float(family.get("grant_cap", 0.0)),
-            when_short=WHEN_SHORT.get(family.get("when_short", ""), ""),
-            note_period=seconds(family.get("tells_every_ns")),
-            tells_cost=bool(family.get("tells_cost", False)),
+            tick_s=seconds(env.get("round_ns")),
+            memory_grants_honored=bool(family.get("grants", False)),
+            priorities_honored=bool(family.get("ranks_heeded", False)),
+            max_grant=float(family.get("grant_cap", 0.0)),
+            memory_shortage_policy=WHEN_SHORT.get(family.get("when_short", ""), ""),
+            status_period_s=seconds(family.get("tells_every_ns")),
+            engines_report_cost=bool(family.get("tells_cost", False)),
         )
     except (AttributeError, TypeError, ValueError) as error:
         raise FormatError(f"bad settings: {error}") from None
@@ -171,10 +177,10 @@
     return api.LoadReport(
         in_flight=values.get("rif"),
         queued=values.get("q"),
-        busy=values.get("busy"),
-        latency=None if latency is None else latency / 1000,
-        rate=values.get("rate"),
+        busy_share=values.get("busy"),
+        latency_s=None if latency is None else latency / 1000,
+        rate_per_s=values.get("rate"),
         error_rate=values.get("fail_rate"),
-        memory_granted=values.get("x0"),
-        disks_busy=values.get("x1"),
+        memory_granted_share=values.get("x0"),
+        disks_busy_share=values.get("x1"),
     )
--- a/micahold/transport/attempts.py
+++ b/micahold/transport/attempts.py
@@ -156,7 +156,7 @@
         elif answer.status == 503 and untouched:
             self._end(Outcome.FULL, answer)
         elif answer.status == 504:
-            self._end(Outcome.MOOT if untouched else Outcome.TIMEOUT, answer)
+            self._end(Outcome.NOT_STARTED if untouched else Outcome.TIMEOUT, answer)
         elif not was_known and self._repeated:
             # The POST was never answered and the engine does not know the query yet: it must not later. That
             # is no sign that the engine is unwell: it answers, and resets hit connections to any.
@@ -199,7 +199,7 @@
         Guards against good results thrown away because the first answer came spoilt, cut off or never.
         """
         if failure.check(NotSent):
-            self._end(Outcome.MOOT)
+            self._end(Outcome.NOT_STARTED)
         elif failure.check(ConnectFailed):
             self._end(Outcome.CONNECT_FAILED)
         elif failure.check(Unreadable, ConnectionBroken):
@@ -262,7 +262,7 @@
         if posted is None or not posted.written:
             if posted is not None:
                 posted.abandon()
-            self._end(Outcome.MOOT if outcome is Outcome.TIMEOUT else outcome)
+            self._end(Outcome.NOT_STARTED if outcome is Outcome.TIMEOUT else outcome)
             return
         self._given_up = outcome
         if self._call is not None and self._call is not posted:
--- a/tests/build.py
+++ b/tests/build.py
@@ -11,26 +11,42 @@
 LOOKUP, REPORT, LOAD = 0, 1, 2
 
 CLASSES = (
-    api.QueryClass("lookup", worth=1, aim=1.0, aim_stretch=2, deadline=5.0, late_share=0.1),
-    api.QueryClass("report", worth=10, aim=3.0, aim_stretch=2, deadline=15.0, threads=4, late_share=0.3),
     api.QueryClass(
-        "load", worth=5, aim=4.0, aim_stretch=2, deadline=20.0, threads=2, effect=api.Effect.KEYED,
-        dedup_window=10.0, in_order=True, is_load=True,
+        "lookup", worth=1, soft_deadline_s=1.0, soft_deadline_stretch=2, deadline_s=5.0, late_worth_share=0.1,
+    ),
+    api.QueryClass(
+        "report", worth=10, soft_deadline_s=3.0, soft_deadline_stretch=2, deadline_s=15.0, threads=4,
+        late_worth_share=0.3,
+    ),
+    api.QueryClass(
+        "load", worth=5, soft_deadline_s=4.0, soft_deadline_stretch=2, deadline_s=20.0, threads=2,
+        repeat_safety=api.RepeatSafety.KEYED, dedup_window_s=10.0, ordered_by_key=True, is_data_load=True,
     ),
 )  # fmt: skip
 KINDS = (api.EngineKind("big", 16, 32000), api.EngineKind("small", 12, 24000))
 TENANTS = (api.Tenant("one", 0.6, 60), api.Tenant("two", 0.4, 40))
-LIMITS = api.Limits(cancel=True, retry_hints=True, max_attempts=4, max_open=1000, max_retry_after=1.0)
+LIMITS = api.Limits(
+    cancel_allowed=True,
+    retry_hints_allowed=True,
+    max_attempts=4,
+    max_open_queries=1000,
+    max_retry_after_s=1.0,
+)
 RULES = api.Rules(
-    answer_slack=0.02, drain_grace=1.0, cold_from=0.3, cold_time=10.0, cold_multiple=3.0, cold_window=1.0
+    answer_slack_s=0.02,
+    drain_grace_s=1.0,
+    cold_initial_speed=0.3,
+    cold_duration_s=10.0,
+    cold_budget_multiple=3.0,
+    cold_window_s=1.0,
 )
 
 
 def settings(**changes: Any) -> api.Settings:
     base = api.Settings(
-        gateways=2,
+        gateway_count=2,
         zones=("a", "b"),
-        kinds=KINDS,
+        engine_kinds=KINDS,
         classes=CLASSES,
         tenants=TENANTS,
         limits=LIMITS,
@@ -77,8 +93,8 @@
 
     def query(self, query_class: int = LOOKUP, **changes: Any) -> api.QueryArrived:
         self.next_id += 1
-        deadline = self.now + self.settings.classes[query_class].deadline
-        made = api.QueryArrived(self.next_id, query_class, 0, deadline, cost=0.1, tables=1)
+        deadline = self.now + self.settings.classes[query_class].deadline_s
+        made = api.QueryArrived(self.next_id, query_class, 0, deadline, estimated_cost_s=0.1, table_group=1)
         return replace(made, **changes)
 
     def ask(self, query_class: int = LOOKUP, **changes: Any) -> tuple[int, list[api.Action]]:
--- a/tests/checker.py
+++ b/tests/checker.py
@@ -6,7 +6,7 @@
 
 from micahold import interface as api
 
-NEVER_RAN = (api.Outcome.FULL, api.Outcome.CONNECT_FAILED, api.Outcome.MOOT)
+NEVER_RAN = (api.Outcome.FULL, api.Outcome.CONNECT_FAILED, api.Outcome.NOT_STARTED)
 MAY_RUN_ON = (api.Outcome.TIMEOUT, api.Outcome.RESET, api.Outcome.CANCELLED)
 
 
@@ -70,12 +70,12 @@
     def outcome(self, now: float, event: api.AttemptEnded) -> None:
         query = self.taken[event.query]
         query.out = False
-        query.ended = query.ended or event.settled
+        query.ended = query.ended or event.query_settled
         if event.outcome not in NEVER_RAN:
             query.ran.append((query.sent_at, event.engine))
-        key = query.event.key
+        key = query.event.ordering_key
         if event.outcome in MAY_RUN_ON and key is not None:
-            self.rest_until[key] = now + self.settings.rules.order_settle
+            self.rest_until[key] = now + self.settings.rules.order_settle_s
 
     def actions(self, now: float, actions: list[api.Action]) -> None:
         for action in actions:
@@ -83,20 +83,22 @@
                 self.send(now, action)
             elif isinstance(action, api.Refuse | api.Fail):
                 self.final(now, action)
-            elif isinstance(action, api.Cancel) and not self.settings.limits.cancel:
+            elif isinstance(action, api.Cancel) and not self.settings.limits.cancel_allowed:
                 self.broken("limits", "a cancel where none is allowed")
 
     def final(self, now: float, action: api.Refuse | api.Fail) -> None:
         query = self.taken[action.query]
-        kind = self.settings.classes[query.event.query_class]
+        kind = self.settings.classes[query.event.class_index]
         if query.ended:
             self.broken("lost", f"query {action.query} is answered twice")
-        if now > query.event.deadline + self.settings.rules.answer_slack:
+        if now > query.event.deadline + self.settings.rules.answer_slack_s:
             self.broken("lost", f"query {action.query} is answered late")
         query.ended = True
         if isinstance(action, api.Refuse) and (query.ran or query.out):
-            dropped_by_all = kind.effect is api.Effect.KEYED and kind.dedup_scope is api.DedupScope.ALL
-            if kind.effect is not api.Effect.SAFE and not dropped_by_all:
+            dropped_by_all = (
+                kind.repeat_safety is api.RepeatSafety.KEYED and kind.dedup_scope is api.DedupScope.ALL
+            )
+            if kind.repeat_safety is not api.RepeatSafety.SAFE and not dropped_by_all:
                 self.broken("twice", f"query {action.query} is refused and may have run")
 
     def send(self, now: float, action: api.Send) -> None:
@@ -116,46 +118,55 @@
         query.out, query.sent_to, query.sent_at = True, action.engine, now
 
     def check_effect(self, now: float, query: Taken, engine: str) -> None:
-        kind = self.settings.classes[query.event.query_class]
+        kind = self.settings.classes[query.event.class_index]
         for sent_at, earlier in query.ran:
             here, there = self.entries[engine], self.entries[earlier]
-            if kind.effect is api.Effect.UNSAFE:
+            if kind.repeat_safety is api.RepeatSafety.UNSAFE:
                 self.broken("twice", "an unsafe query that may have run is sent again")
-            if kind.effect is api.Effect.KEYED and now > sent_at + kind.dedup_window:
+            if kind.repeat_safety is api.RepeatSafety.KEYED and now > sent_at + kind.dedup_window_s:
                 self.broken("twice", "a keyed query is sent again after its window")
             strays = (kind.dedup_scope is api.DedupScope.ZONE and here.zone != there.zone) or (
                 kind.dedup_scope is api.DedupScope.CELL and here.cell != there.cell
             )
-            if kind.effect is api.Effect.KEYED and strays:
+            if kind.repeat_safety is api.RepeatSafety.KEYED and strays:
                 self.broken("twice", "a keyed query is sent again outside its group")
 
     def check_engine(self, now: float, query: Taken, engine: str) -> None:
         kind, rules, entry = (
-            self.settings.classes[query.event.query_class],
+            self.settings.classes[query.event.class_index],
             self.settings.rules,
             self.entries[engine],
         )
-        if engine in self.left_at and now > self.left_at[engine] + rules.drain_grace:
+        if engine in self.left_at and now > self.left_at[engine] + rules.drain_grace_s:
             self.broken("drain", f"{engine} is sent work after it left")
         if kind.allowed_kinds is not None and entry.kind not in kind.allowed_kinds:
             self.broken("placement", f"{engine} is of the wrong kind")
         if kind.allowed_zones is not None and entry.zone not in kind.allowed_zones:
             self.broken("placement", f"{engine} is in the wrong zone")
-        if entry.started > 0 and now < entry.started + rules.cold_time:
+        if entry.started_at > 0 and now < entry.started_at + rules.cold_duration_s:
             sent = self.cold.setdefault(engine, [])
-            sent.append((now, query.event.cost or 0.0))
-            work = sum(cost for at, cost in sent if at > now - rules.cold_window)
-            cores = self.settings.kinds[entry.kind].cores
-            most = rules.cold_multiple * rules.cold_from * cores * rules.cold_window / self.settings.gateways
+            sent.append((now, query.event.estimated_cost_s or 0.0))
+            work = sum(cost for at, cost in sent if at > now - rules.cold_window_s)
+            cores = self.settings.engine_kinds[entry.kind].cores
+            most = (
+                rules.cold_budget_multiple
+                * rules.cold_initial_speed
+                * cores
+                * rules.cold_window_s
+                / self.settings.gateway_count
+            )
             if work > most:
                 self.broken("cold", f"{engine} is sent {work} where {most} is allowed")
 
     def check_order(self, now: float, query: Taken) -> None:
-        kind, key = self.settings.classes[query.event.query_class], query.event.key
-        if not kind.in_order or key is None:
+        kind, key = self.settings.classes[query.event.class_index], query.event.ordering_key
+        if not kind.ordered_by_key or key is None:
             return
         for other in self.taken.values():
-            ordered = self.settings.classes[other.event.query_class].in_order and other.event.key == key
+            ordered = (
+                self.settings.classes[other.event.class_index].ordered_by_key
+                and other.event.ordering_key == key
+            )
             if ordered and other.order < query.order and (not other.ended or other.out):
                 self.broken("order", f"query {query.event.query} overtakes {other.event.query}")
         if query.attempts == 1 and now < self.rest_until.get(key, now):
@@ -163,16 +174,16 @@
 
     def check_ration(self, now: float) -> None:
         rules = self.settings.rules
-        if rules.retry_window <= 0:
+        if rules.retry_window_s <= 0:
             return
         self.extra.append(now)
-        since = now - rules.retry_window
+        since = now - rules.retry_window_s
         extra = sum(at > since for at in self.extra)
         taken = sum(at > since for at in self.arrivals)
-        if extra > rules.retry_free + rules.retry_share * taken:
+        if extra > rules.retry_budget_floor + rules.retry_budget_ratio * taken:
             self.broken("ration", f"{extra} further attempts with {taken} queries taken")
 
     def finish(self, now: float) -> None:
         for query in self.taken.values():
-            if not query.ended and now > query.event.deadline + self.settings.rules.answer_slack:
+            if not query.ended and now > query.event.deadline + self.settings.rules.answer_slack_s:
                 self.broken("lost", f"query {query.event.query} has no final answer")
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -71,7 +71,7 @@
         (answer(503), Outcome.ERROR),
         (answer(500), Outcome.ERROR),
         (answer(404), Outcome.ERROR),
-        (answer(504, Srv_Untouched="1"), Outcome.MOOT),
+        (answer(504, Srv_Untouched="1"), Outcome.NOT_STARTED),
         (answer(504), Outcome.TIMEOUT),
     ],
 )
@@ -290,7 +290,7 @@
     world.start(wait=9.0)
     _, ends = world.start(wait=1.0)
     world.turn(1.0)
-    assert [end.outcome for end in ends] == [Outcome.MOOT]
+    assert [end.outcome for end in ends] == [Outcome.NOT_STARTED]
 
 
 def test_a_cancelled_attempt_ends_once_the_engine_has_given_it_up() -> None:
@@ -351,7 +351,7 @@
     link = world.links[0].up()
     world.turn()
     assert link.transport.sent() == b""
-    assert [end.outcome for end in ends] == [Outcome.MOOT]
+    assert [end.outcome for end in ends] == [Outcome.NOT_STARTED]
 
 
 def test_two_attempts_of_one_query_on_one_engine_are_not_mixed_up() -> None:
--- a/tests/test_benchlink.py
+++ b/tests/test_benchlink.py
@@ -86,20 +86,20 @@
 
 def test_settings_are_read_in_full() -> None:
     read = decode_settings(ENV)
-    assert (read.gateway, read.gateways, read.zones) == (1, 3, ("z0", "z1"))
-    assert read.kinds[1] == api.EngineKind("m1", 12, 24576.0)
+    assert (read.gateway_index, read.gateway_count, read.zones) == (1, 3, ("z0", "z1"))
+    assert read.engine_kinds[1] == api.EngineKind("m1", 12, 24576.0)
     assert read.classes[1].threads == 4
-    assert read.classes[1].in_order
-    assert read.classes[1].is_load
+    assert read.classes[1].ordered_by_key
+    assert read.classes[1].is_data_load
     assert read.classes[1].allowed_kinds == frozenset({1})
     assert read.classes[1].allowed_zones == frozenset({0})
     assert read.classes[1].dedup_scope is api.DedupScope.CELL
-    assert read.classes[0].waits_for_loads
-    assert read.classes[0].aim == 0.5
-    assert read.limits.max_retry_after == 1.0
+    assert read.classes[0].waits_for_data_loads
+    assert read.classes[0].soft_deadline_s == 0.5
+    assert read.limits.max_retry_after_s == 1.0
     assert read.rules == api.Rules(0.02, 0.0, 1.0, 0.3, 14.0, 3.0, 2.0, 0.4, 5, 0.1, 5.0)
     assert read.tenants == (api.Tenant("t", 0.61, 161.0),)
-    assert (read.note_period, read.when_short, read.report_source) == (0.5, "wait", "answers")
+    assert (read.status_period_s, read.memory_shortage_policy, read.report_source) == (0.5, "wait", "answers")
 
 
 def test_settings_may_lack_every_key() -> None:
@@ -115,12 +115,12 @@
         ({"what": "flowing", "txn": 1, "engine": "e", "cost_time_ns": 1000000000},
          api.AttemptStreaming(1, 0, "e", 1.0)),
         ({"what": "heartbeat", "txn": 1, "try": 2, "engine": "e", "kind": 3, "level": 2},
-         api.AttemptNote(1, 2, "e", api.NoteKind.WAITING, 2.0)),
+         api.AttemptStatus(1, 2, "e", api.AttemptStatusKind.WAITING, 2.0)),
         ({"what": "heartbeat", "txn": 1, "engine": "e", "kind": 9}, None),
         ({"what": "answer", "txn": 1, "engine": "e", "result": 10, "settled": True, "bill": 69728,
           "cost_time_ns": 500000000, "health_info": {"rif": 4, "busy": 0.5, "lat_ms": 20, "new": 1}},
          api.AttemptEnded(1, 0, "e", api.Outcome.OK, 0.5, True, 0.017, 384.0,
-                          api.LoadReport(in_flight=4, busy=0.5, latency=0.02))),
+                          api.LoadReport(in_flight=4, busy_share=0.5, latency_s=0.02))),
         ({"what": "dropped", "txn": 1}, api.QueryDropped(1)),
         ({"what": "reminder", "cookie": 9}, api.TimerFired(9)),
         ({"what": "ping_result", "engine": "e", "result": 50, "cost_time_ns": 250000000},
--- a/tests/test_exchange.py
+++ b/tests/test_exchange.py
@@ -121,7 +121,9 @@
     first, second = world.decisions.batches
     assert isinstance(first[0], api.ListUpdate)
     assert [entry.engine for entry in first[0].entries] == ["a", "b"]
-    assert second == [api.QueryArrived(1, 0, 1, 2.0, cost=0.82, memory_mb=96.0, tables=17)]
+    assert second == [
+        api.QueryArrived(1, 0, 1, 2.0, estimated_cost_s=0.82, estimated_memory_mb=96.0, table_group=17)
+    ]
 
 
 def test_all_that_happens_in_a_turn_is_one_batch() -> None:
@@ -163,8 +165,8 @@
     event = world.last()
     assert isinstance(event, api.AttemptEnded)
     assert (event.query, event.attempt, event.engine, event.outcome) == (ticket, 0, "a", api.Outcome.OK)
-    assert event.settled
-    assert event.report == api.LoadReport(in_flight=7.0, busy=0.5)
+    assert event.query_settled
+    assert event.report == api.LoadReport(in_flight=7.0, busy_share=0.5)
     assert not world.exchange.queries
 
 
@@ -182,7 +184,7 @@
     """A class that was hardly served showed in no counter."""
     world = World()
     ticket, _ = world.ask()
-    world.want(api.Refuse(ticket, 0.5, api.Reason.TRIES))
+    world.want(api.Refuse(ticket, 0.5, api.GiveUpReason.ATTEMPTS_EXHAUSTED))
     assert world.counters.snapshot()["given_up_lookup_tries"] == 1
     assert [fields["why"] for event, fields in world.logged if event == "query"] == ["tries"]
 
@@ -194,7 +196,7 @@
     world.want(api.Send(ticket, "a"))
     world.links[0].up().say(answer(202))
     world.turn()
-    assert world.last() == api.AttemptNote(ticket, 0, "a", api.NoteKind.ALIVE)
+    assert world.last() == api.AttemptStatus(ticket, 0, "a", api.AttemptStatusKind.ALIVE)
 
 
 def test_an_error_is_told_and_the_query_stays_open() -> None:
@@ -205,7 +207,7 @@
     world.turn()
     event = world.last()
     assert isinstance(event, api.AttemptEnded)
-    assert (event.outcome, event.settled) == (api.Outcome.ERROR, False)
+    assert (event.outcome, event.query_settled) == (api.Outcome.ERROR, False)
     world.want(api.Send(ticket, "b"))
     world.links[1].up().say(answer(200, PAGE, X_Sheets="1"))
     assert [kind for kind, _ in client.answers] == ["served"]
@@ -263,7 +265,7 @@
     world.turn()
     event = world.last()
     assert isinstance(event, api.AttemptEnded)
-    assert event.outcome is api.Outcome.MOOT
+    assert event.outcome is api.Outcome.NOT_STARTED
     assert len(world.links) == made
 
 
@@ -333,7 +335,7 @@
     _, client = world.ask()
     world.turn(2.0)
     assert not client.answers
-    world.turn(SETTINGS.rules.answer_slack + 0.001)
+    world.turn(SETTINGS.rules.answer_slack_s + 0.001)
     assert [kind for kind, _ in client.answers] == ["failed"]
     world.turn()
     assert isinstance(world.last(), api.QueryDropped)
@@ -424,7 +426,7 @@
     world.turn()
     by = world.clock.seconds() + 1.0
     closing = world.last()
-    assert isinstance(closing, api.Closing) and closing.by == by
+    assert isinstance(closing, api.GatewayClosing) and closing.answer_by == by
     late, _ = world.ask(2, wait="9000")
     arrived = world.last()
     assert isinstance(arrived, api.QueryArrived) and arrived.query == late and arrived.deadline == by
@@ -436,4 +438,4 @@
     world.turn()
     ended = world.last()
     assert isinstance(ended, api.AttemptEnded) and ended.outcome is api.Outcome.TIMEOUT
-    assert not ended.settled and not client.answers  # the answer is the decisions'
+    assert not ended.query_settled and not client.answers  # the answer is the decisions'
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -7,7 +7,7 @@
 import pytest
 
 from micahold import interface as api
-from micahold.controller import MOST_RUNS
+from micahold.controller import MAX_FRUITLESS_RUNS
 from tests import build
 from tests.build import LOOKUP, REPORT, Gateway, finals, sends
 from tests.test_design import crowd, press
@@ -39,13 +39,19 @@
 def test_a_cold_engine_is_sent_by_the_dearer_of_told_and_learned_cost() -> None:
     gateway = Gateway(number=1)
     for _ in range(60):  # runs take a tenth of what they are told to cost
-        query, _ = gateway.ask(cost=1.0)
+        query, _ = gateway.ask(estimated_cost_s=1.0)
         gateway.end(query, api.Outcome.OK, after=0.1)
-    fresh = build.entry(0, started=gateway.now)
+    fresh = build.entry(0, started_at=gateway.now)
     gateway.tell(api.ListUpdate(api.ListKind.CHANGES, 2, (fresh,)))
     rules = gateway.settings.rules
-    most = rules.cold_multiple * rules.cold_from * 16 * rules.cold_window / gateway.settings.gateways
-    assert 0 < len(crowd(gateway, number=50, cost=1.0)) <= most
+    most = (
+        rules.cold_budget_multiple
+        * rules.cold_initial_speed
+        * 16
+        * rules.cold_window_s
+        / gateway.settings.gateway_count
+    )
+    assert 0 < len(crowd(gateway, number=50, estimated_cost_s=1.0)) <= most
 
 
 def test_failing_engines_take_what_would_be_held_but_dead_ones_do_not() -> None:
@@ -69,41 +75,42 @@
 
 def test_an_engine_that_ends_nothing_comes_under_pressure_by_the_age_of_its_attempts() -> None:
     """Only runs that ended well were counted: a collapse that ended none showed no pressure."""
-    gateway = Gateway(number=1, note_period=0.5)
+    gateway = Gateway(number=1, status_period_s=0.5)
     for _ in range(60):
-        query, _ = gateway.ask(cost=0.1)
+        query, _ = gateway.ask(estimated_cost_s=0.1)
         gateway.end(query, api.Outcome.OK, after=0.1)
-    out = crowd(gateway, number=20, cost=0.1)
+    out = crowd(gateway, number=20, estimated_cost_s=0.1)
     for _ in range(8):
         notes = [
-            api.AttemptNote(query, 0, gateway.engine_of[query], api.NoteKind.WAITING, 1.0) for query in out
+            api.AttemptStatus(query, 0, gateway.engine_of[query], api.AttemptStatusKind.WAITING, 1.0)
+            for query in out
         ]
         gateway.tell(*notes, after=0.1)
         gateway.tick()
-    assert len(crowd(gateway, number=200, cost=0.1)) < 200
+    assert len(crowd(gateway, number=200, estimated_cost_s=0.1)) < 200
 
 
 def test_memory_that_is_all_granted_is_a_busy_report() -> None:
     gateway = Gateway(number=1)
     query, _ = gateway.ask()
-    gateway.end(query, api.Outcome.OK, report=api.LoadReport(busy=0.2, memory_granted=1.2))
+    gateway.end(query, api.Outcome.OK, report=api.LoadReport(busy_share=0.2, memory_granted_share=1.2))
     assert len(crowd(gateway, number=200)) < 200
 
 
 def test_an_attempt_far_behind_its_expected_pace_is_begun_anew_elsewhere() -> None:
     gateway = Gateway(number=4)
-    query, _ = gateway.ask(REPORT, cost=4.0)
+    query, _ = gateway.ask(REPORT, estimated_cost_s=4.0)
     gateway.now += 2.0
     first = gateway.engine_of[query]
-    note = api.AttemptNote(query, 0, first, api.NoteKind.PROGRESS, 0.05)
+    note = api.AttemptStatus(query, 0, first, api.AttemptStatusKind.PROGRESS, 0.05)
     assert api.Cancel(query, 0) in gateway.tell(note)
     (again,) = sends(gateway.end(query, api.Outcome.CANCELLED))
     assert again.engine != first
 
 
 def test_a_silent_engine_is_passed_over_and_comes_back() -> None:
-    gateway = Gateway(number=2, note_period=0.5)
-    query, _ = gateway.ask(LOOKUP, tables=1)
+    gateway = Gateway(number=2, status_period_s=0.5)
+    query, _ = gateway.ask(LOOKUP, table_group=1)
     silent = gateway.engine_of[query]
     gateway.tick(times=30)
     others = {gateway.engine_of[one] for one in crowd(gateway, number=10)[1:]}
@@ -122,11 +129,11 @@
     """
     gateway = Gateway(number=2)
     for _ in range(20 if learnt else 0):
-        gateway.end(gateway.ask(REPORT, cost=0.4)[0], api.Outcome.OK, after=0.1)
-    query, _ = gateway.ask(REPORT, cost=0.4)
+        gateway.end(gateway.ask(REPORT, estimated_cost_s=0.4)[0], api.Outcome.OK, after=0.1)
+    query, _ = gateway.ask(REPORT, estimated_cost_s=0.4)
     seen: list[api.Action] = []
     for _ in range(40):
-        gateway.tell(api.AttemptNote(query, 0, gateway.engine_of[query], api.NoteKind.ALIVE))
+        gateway.tell(api.AttemptStatus(query, 0, gateway.engine_of[query], api.AttemptStatusKind.ALIVE))
         seen += gateway.tick(after=0.25)
     assert (api.Cancel(query, 0) in seen) is learnt
 
@@ -134,16 +141,16 @@
 def test_what_cannot_end_before_its_deadline_is_refused_at_once() -> None:
     """Queries at many times the usual cost ran until their deadline and ended nothing but others' time."""
     gateway = Gateway()
-    query, actions = gateway.ask(LOOKUP, cost=50.0)
+    query, actions = gateway.ask(LOOKUP, estimated_cost_s=50.0)
     assert [one.query for one in finals(actions)] == [query]
     assert not sends(actions)
 
 
 def test_loads_and_the_readers_that_wait_for_them_keep_to_different_engines() -> None:
-    gateway = Gateway(number=6, classes=build.change_class(LOOKUP, waits_for_loads=True))
+    gateway = Gateway(number=6, classes=build.change_class(LOOKUP, waits_for_data_loads=True))
     loads, reads = set(), set()
     for number in range(12):
-        load, _ = gateway.ask(build.LOAD, key=number, cost=4.0)
+        load, _ = gateway.ask(build.LOAD, ordering_key=number, estimated_cost_s=4.0)
         read, _ = gateway.ask(LOOKUP)
         loads.add(gateway.engine_of[load])
         reads.add(gateway.engine_of[read])
@@ -154,24 +161,24 @@
 
 def test_two_loads_of_one_group_do_not_meet_on_one_engine() -> None:
     gateway = Gateway(number=3)
-    first, _ = gateway.ask(build.LOAD, key=1, cost=4.0)
-    second, _ = gateway.ask(build.LOAD, key=2, cost=4.0)
+    first, _ = gateway.ask(build.LOAD, ordering_key=1, estimated_cost_s=4.0)
+    second, _ = gateway.ask(build.LOAD, ordering_key=2, estimated_cost_s=4.0)
     assert gateway.engine_of[first] != gateway.engine_of[second]
 
 
 def test_a_grant_leaves_room_above_the_estimate_and_is_left_to_the_engine_without_one() -> None:
     """Grants near the estimate made queries spill, which cost far more than the memory they spared."""
-    gateway = Gateway(grants_heeded=True)
+    gateway = Gateway(memory_grants_honored=True)
     granted = []
     for memory in (1000.0, None):
-        _, actions = gateway.ask(memory_mb=memory)
+        _, actions = gateway.ask(estimated_memory_mb=memory)
         granted += [one.grant_mb for one in actions if isinstance(one, api.SetTerms)]
     assert granted[0] >= 1250.0
     assert granted[1] == 0.0
 
 
 def test_no_terms_are_sent_where_none_are_heeded() -> None:
-    _, actions = Gateway().ask(memory_mb=1000.0)
+    _, actions = Gateway().ask(estimated_memory_mb=1000.0)
     assert not [one for one in actions if isinstance(one, api.SetTerms)]
 
 
@@ -179,23 +186,23 @@
     """On quiet days long queries were refused only because their cost was told too high."""
     gateway = Gateway(number=2)
     for number in range(80):
-        query, _ = gateway.ask(cost=0.1)
+        query, _ = gateway.ask(estimated_cost_s=0.1)
         gateway.end(query, api.Outcome.OK, after=0.02 if number % 2 else 0.5)
-    query, actions = gateway.ask(cost=6.0)
+    query, actions = gateway.ask(estimated_cost_s=6.0)
     assert [one.query for one in sends(actions)] == [query]
 
 
 def test_a_class_that_earns_little_with_its_place_leaves_it_to_others_when_places_run_out() -> None:
     """Attempts that stand until their time is up take the places; what comes then is turned away unseen."""
-    gateway = Gateway(limits=replace(build.LIMITS, max_open=8))
+    gateway = Gateway(limits=replace(build.LIMITS, max_open_queries=8))
     for _ in range(60):
         quick, _ = gateway.ask(LOOKUP)
         gateway.end(quick, api.Outcome.OK)
-    lost, _ = gateway.ask(REPORT, tables=2)
+    lost, _ = gateway.ask(REPORT, table_group=2)
     gateway.end(lost, api.Outcome.TIMEOUT, after=15.0)
     for _ in range(6):
-        assert not finals(gateway.ask(REPORT, tables=2)[1])
-    refused, actions = gateway.ask(REPORT, tables=2)
+        assert not finals(gateway.ask(REPORT, table_group=2)[1])
+    refused, actions = gateway.ask(REPORT, table_group=2)
     assert [one.query for one in finals(actions)] == [refused]
     assert not finals(gateway.ask(LOOKUP)[1])  # earns more than the usual: it still comes in
 
@@ -211,9 +218,9 @@
     while not finals(actions):
         tried.add(gateway.engine_of[bad])
         actions = gateway.end(bad, api.Outcome.ERROR, after=0.001)
-    assert len(tried) == MOST_RUNS
+    assert len(tried) == MAX_FRUITLESS_RUNS
     views = gateway.controller.router.engines.values()
-    assert sum(view.failing > 0 for view in views) == 1
+    assert sum(view.failure_level > 0 for view in views) == 1
 
 
 def test_views_of_engines_that_have_gone_are_kept_only_until_they_have_faded() -> None:
@@ -227,8 +234,8 @@
         gateway.tell(api.ListUpdate(api.ListKind.CHANGES, number, (gone,)))
     router = gateway.controller.router
     assert len(router.engines) < 70
-    assert len(router.paces) <= len(router.engines)
-    assert len(router.orders) <= 1
+    assert len(router.sorted_slowness) <= len(router.engines)
+    assert len(router.hash_orders) <= 1
 
 
 def test_a_view_outlasts_its_engine_while_an_attempt_is_out_there() -> None:
@@ -246,9 +253,11 @@
     """The dearest lie deepest: while cheaper ones keep coming they were never met, and never forgotten."""
     gateway = Gateway(number=0)
     for number in range(3000):
-        gateway.ask(cost=0.2 if number % 2 else 0.01, deadline=gateway.now + (0.3 if number % 2 else 5.0))
+        gateway.ask(
+            estimated_cost_s=0.2 if number % 2 else 0.01, deadline=gateway.now + (0.3 if number % 2 else 5.0)
+        )
         gateway.tick(after=0.01)
-    assert sum(map(len, gateway.controller.release.lines.values())) < 600
+    assert sum(map(len, gateway.controller.held_queries.queues.values())) < 600
 
 
 def test_a_gateway_that_closes_refuses_what_it_cannot_end_by_then_and_takes_what_it_can() -> None:
@@ -258,7 +267,7 @@
     gateway.tell(api.ListUpdate(api.ListKind.FULL, 2, (build.entry(0, state=api.EngineState.DRAINING),)))
     held, _ = gateway.ask(REPORT)
     by = gateway.now + 3.0
-    answers = finals(gateway.tell(api.Closing(by)))
+    answers = finals(gateway.tell(api.GatewayClosing(by)))
     while gateway.now < by - 0.1:
         answers += finals(gateway.tick())
     assert [(type(one), one.query) for one in answers] == [(api.Refuse, held)]
@@ -271,15 +280,15 @@
 
 def test_a_gateway_under_pressure_keeps_half_of_its_even_part_of_an_engine() -> None:
     """Down at one thread the few slow queries that were let in kept it there, and the engine idle."""
-    gateway = Gateway(number=1, gateways=3)
+    gateway = Gateway(number=1, gateway_count=3)
     (view,) = gateway.controller.router.engines.values()
-    view.slow, view.threads = 2.0, 24
+    view.log_slowness, view.threads_in_flight = 2.0, 24
     for _ in range(200):
-        view.follow_pressure(gateway.now, 0.1)
-    assert view.share == 0.5 / 3
-    many = Gateway(number=1, gateways=65)
+        view.adjust_share(gateway.now, 0.1)
+    assert view.capacity_share == 0.5 / 3
+    many = Gateway(number=1, gateway_count=65)
     (view,) = many.controller.router.engines.values()
-    view.slow, view.threads = 2.0, 24
+    view.log_slowness, view.threads_in_flight = 2.0, 24
     for _ in range(200):
-        view.follow_pressure(many.now, 0.1)
-    assert view.share == 1 / 65  # less than one thread: as before
+        view.adjust_share(many.now, 0.1)
+    assert view.capacity_share == 1 / 65  # less than one thread: as before
--- a/tests/test_feeds.py
+++ b/tests/test_feeds.py
@@ -50,7 +50,7 @@
     assert news.addresses == {"s-1": ("10.1.0.9", 4100)}
     assert news.update.kind is api.ListKind.CHANGES
     assert news.update.entries[0] == api.EngineEntry(
-        "s-1", api.EngineState.UP, zone=1, kind=0, cell=2, started=1.5, weight=4.0
+        "s-1", api.EngineState.UP, zone=1, kind=0, cell=2, started_at=1.5, weight=4.0
     )
     assert news.update.entries[1].state is api.EngineState.GONE
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -21,8 +21,10 @@
 from tests import build
 from tests.build import LOAD, LOOKUP, REPORT
 
-RULES = replace(build.RULES, retry_free=5, retry_share=0.1, retry_window=5.0, order_settle=0.0)
-CLASSES = build.change_class(LOAD, in_order=False)
+RULES = replace(
+    build.RULES, retry_budget_floor=5, retry_budget_ratio=0.1, retry_window_s=5.0, order_settle_s=0.0
+)
+CLASSES = build.change_class(LOAD, ordered_by_key=False)
 WORK = {LOOKUP: 0.25, REPORT: 2.0, LOAD: 5.0}  # thread-seconds of a query, truly
 PACE = {LOOKUP: 0.8, REPORT: 0.14, LOAD: 0.06}  # part of the traffic
 SERVED_AGAIN_S = 5.0  # the bound: so long after a failure every class with a well engine is served again
@@ -50,11 +52,11 @@
         self.ended: list[tuple[float, int, bool]] = []  # when taken, class, served
         self.serial, self.coming = count(), list[tuple[float, int, Callable[[], None]]]()
         base = build.settings(
-            gateways=self.gateways, classes=CLASSES, rules=RULES,
+            gateway_count=self.gateways, classes=CLASSES, rules=RULES,
             limits=replace(build.LIMITS, max_attempts=6),
         )  # fmt: skip
         self.nodes = [
-            Node(self, Controller(replace(base, gateway=one), self.seed + one))
+            Node(self, Controller(replace(base, gateway_index=one), self.seed + one))
             for one in range(self.gateways)
         ]
 
@@ -100,9 +102,11 @@
         self.open[query] = (now, kind)
         fleet.asked[kind] += 1
         cost = work * fleet.told.get(kind, 1.0) * fleet.random.lognormvariate(0.0, 0.3)
-        deadline = now + CLASSES[kind].deadline
+        deadline = now + CLASSES[kind].deadline_s
         tables, tenant = fleet.random.randrange(60), fleet.random.randrange(2)
-        self.tell(now, api.QueryArrived(query, kind, tenant, deadline, cost=cost, tables=tables))
+        self.tell(
+            now, api.QueryArrived(query, kind, tenant, deadline, estimated_cost_s=cost, table_group=tables)
+        )
 
     def tell(self, now: float, event: api.Event) -> None:
         fleet = self.fleet
@@ -133,7 +137,7 @@
         fleet.sends[kind] += 1
         # Readers and loads run at a third of an engine's best while it serves others as well.
         took = 3.0 * WORK[kind] * fleet.random.lognormvariate(0.0, 0.4) / CLASSES[kind].threads
-        took = min(took, 0.6 * CLASSES[kind].deadline)  # what takes longer than that fails of itself
+        took = min(took, 0.6 * CLASSES[kind].deadline_s)  # what takes longer than that fails of itself
         if fleet.silent(send.engine):
             outcome, took = fleet.random.choice(
                 [(api.Outcome.CONNECT_FAILED, 0.25), (api.Outcome.RESET, 2.0)]
@@ -150,7 +154,7 @@
     def live(self, query: int, attempt: int, when: float) -> None:
         def act() -> None:
             if self.out.get(query, (-1,))[0] == attempt and not self.fleet.silent(self.out[query][1]):
-                note = api.AttemptNote(query, attempt, self.out[query][1], api.NoteKind.ALIVE)
+                note = api.AttemptStatus(query, attempt, self.out[query][1], api.AttemptStatusKind.ALIVE)
                 self.tell(self.fleet.now, note)
                 self.live(query, attempt, self.fleet.now + NEWS_S)
 
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -11,7 +11,7 @@
 from tests.build import LOAD, LOOKUP, Gateway, finals, sends
 
 MAY_HAVE_RUN = [api.Outcome.ERROR, api.Outcome.TIMEOUT, api.Outcome.RESET]
-NEVER_RAN = [api.Outcome.FULL, api.Outcome.CONNECT_FAILED, api.Outcome.MOOT]
+NEVER_RAN = [api.Outcome.FULL, api.Outcome.CONNECT_FAILED, api.Outcome.NOT_STARTED]
 
 
 def test_a_query_without_an_engine_gets_one_final_answer_before_its_deadline() -> None:
@@ -32,22 +32,24 @@
 
 @pytest.mark.parametrize("outcome", MAY_HAVE_RUN)
 def test_an_unsafe_query_that_may_have_run_is_failed_at_once(outcome: api.Outcome) -> None:
-    gateway = Gateway(classes=build.change_class(LOOKUP, effect=api.Effect.UNSAFE))
+    gateway = Gateway(classes=build.change_class(LOOKUP, repeat_safety=api.RepeatSafety.UNSAFE))
     query, _ = gateway.ask()
     assert finals(gateway.end(query, outcome)) == [api.Fail(query)]
 
 
 @pytest.mark.parametrize("outcome", NEVER_RAN)
 def test_an_unsafe_query_that_never_ran_may_be_sent_again(outcome: api.Outcome) -> None:
-    gateway = Gateway(classes=build.change_class(LOOKUP, effect=api.Effect.UNSAFE))
+    gateway = Gateway(classes=build.change_class(LOOKUP, repeat_safety=api.RepeatSafety.UNSAFE))
     query, _ = gateway.ask()
     assert [one.query for one in sends(gateway.end(query, outcome))] == [query]
 
 
 @pytest.mark.parametrize("scope", [api.DedupScope.ZONE, api.DedupScope.CELL])
 def test_a_keyed_query_stays_in_the_group_that_drops_its_repeat(scope: api.DedupScope) -> None:
-    gateway = Gateway(number=8, classes=build.change_class(LOOKUP, effect=api.Effect.KEYED, dedup_scope=scope,
-                                                           dedup_window=3.0))  # fmt: skip
+    classes = build.change_class(
+        LOOKUP, repeat_safety=api.RepeatSafety.KEYED, dedup_scope=scope, dedup_window_s=3.0
+    )
+    gateway = Gateway(number=8, classes=classes)
     query, _ = gateway.ask()
     first = int(gateway.engine_of[query][1:])
     (again,) = sends(gateway.end(query, api.Outcome.ERROR))
@@ -56,7 +58,9 @@
 
 
 def test_a_keyed_query_is_not_sent_again_after_its_window() -> None:
-    gateway = Gateway(classes=build.change_class(LOOKUP, effect=api.Effect.KEYED, dedup_window=1.0))
+    gateway = Gateway(
+        classes=build.change_class(LOOKUP, repeat_safety=api.RepeatSafety.KEYED, dedup_window_s=1.0)
+    )
     query, _ = gateway.ask()
     actions = gateway.end(query, api.Outcome.ERROR, after=1.5)
     assert not sends(actions)
@@ -82,17 +86,23 @@
 
 def test_a_cold_engine_is_sent_no_more_than_this_gateways_part() -> None:
     gateway = Gateway(number=1)
-    gateway.tell(api.ListUpdate(api.ListKind.CHANGES, 2, (build.entry(0, started=gateway.now - 0.1),)))
+    gateway.tell(api.ListUpdate(api.ListKind.CHANGES, 2, (build.entry(0, started_at=gateway.now - 0.1),)))
     rules = gateway.settings.rules
-    part = rules.cold_multiple * rules.cold_from * 16 * rules.cold_window / gateway.settings.gateways
-    sent = sends(gateway.tell(*(gateway.query(cost=0.1) for _ in range(300))))
+    part = (
+        rules.cold_budget_multiple
+        * rules.cold_initial_speed
+        * 16
+        * rules.cold_window_s
+        / gateway.settings.gateway_count
+    )
+    sent = sends(gateway.tell(*(gateway.query(estimated_cost_s=0.1) for _ in range(300))))
     assert 0 < len(sent) * 0.1 <= part
 
 
 def test_loads_of_one_key_run_one_at_a_time_and_rest_after_a_doubtful_end() -> None:
-    gateway = Gateway(rules=replace(build.RULES, order_settle=0.4))
-    first, _ = gateway.ask(LOAD, key=7)
-    second, actions = gateway.ask(LOAD, key=7)
+    gateway = Gateway(rules=replace(build.RULES, order_settle_s=0.4))
+    first, _ = gateway.ask(LOAD, ordering_key=7)
+    second, actions = gateway.ask(LOAD, ordering_key=7)
     assert not sends(actions)
     gateway.tell(api.QueryDropped(first))
     assert not sends(gateway.end(first, api.Outcome.TIMEOUT))
@@ -111,7 +121,7 @@
 
 
 def test_further_attempts_stay_within_their_ration() -> None:
-    rules = replace(build.RULES, retry_window=5.0, retry_free=2.0, retry_share=0.1)
+    rules = replace(build.RULES, retry_window_s=5.0, retry_budget_floor=2.0, retry_budget_ratio=0.1)
     gateway = Gateway(rules=rules)
     asked = [gateway.ask()[0] for _ in range(10)]
     again = sum(len(sends(gateway.end(query, api.Outcome.FULL, after=0.01))) for query in asked)
--- a/tests/test_hearsay.py
+++ b/tests/test_hearsay.py
@@ -12,15 +12,15 @@
 from tests import build
 from tests.build import LOOKUP, REPORT, Gateway, sends
 
-OTHERS = [one for one in api.Outcome if one not in (api.Outcome.OK, api.Outcome.MOOT)]
+OTHERS = [one for one in api.Outcome if one not in (api.Outcome.OK, api.Outcome.NOT_STARTED)]
 OUTCOMES = [api.Outcome.OK] * 3 + OTHERS
-RATIONED = replace(build.RULES, retry_free=5, retry_share=0.2, retry_window=5.0)
+RATIONED = replace(build.RULES, retry_budget_floor=5, retry_budget_ratio=0.2, retry_window_s=5.0)
 
 
 def play(seed: int, steps: int = 1500) -> str:
     """A digest of all that the module answers to a seeded course of events of every kind it had before."""
     random, digest = Random(seed), blake2b(digest_size=12)
-    gateway = Gateway(number=7, seed=seed, gateways=3, rules=RATIONED)
+    gateway = Gateway(number=7, seed=seed, gateway_count=3, rules=RATIONED)
     for step in range(steps):
         choice = random.random()
         open_now = [one for one, q in gateway.controller.queries.items() if q.engine is not None]
@@ -28,7 +28,9 @@
             kind = random.randrange(3)
             tenant, tables, key = random.randrange(2), random.randrange(9), random.randrange(4)
             cost = random.choice([None, 0.05, 0.4, 3.0])
-            actions = gateway.ask(kind, tenant=tenant, tables=tables, key=key, cost=cost)[1]
+            actions = gateway.ask(
+                kind, tenant_index=tenant, table_group=tables, ordering_key=key, estimated_cost_s=cost
+            )[1]
         elif choice < 0.85 and open_now:
             actions = gateway.end(
                 random.choice(open_now), random.choice(OUTCOMES), after=random.random() / 20
@@ -36,13 +38,13 @@
         elif choice < 0.9 and open_now:
             query = random.choice(open_now)
             engine = gateway.controller.queries[query].engine or ""
-            note = api.AttemptNote(
-                query, gateway.attempts[query], engine, api.NoteKind.PROGRESS, random.random()
+            note = api.AttemptStatus(
+                query, gateway.attempts[query], engine, api.AttemptStatusKind.PROGRESS, random.random()
             )
             actions = gateway.tell(note)
         elif choice < 0.92:
             state = random.choice(list(api.EngineState))
-            one = build.entry(random.randrange(8), state=state, started=random.choice([0.0, gateway.now]))
+            one = build.entry(random.randrange(8), state=state, started_at=random.choice([0.0, gateway.now]))
             actions = gateway.tell(api.ListUpdate(api.ListKind.CHANGES, step, (one,)))
         elif choice < 0.93 and open_now:
             actions = gateway.tell(api.QueryDropped(random.choice(open_now)))
@@ -65,10 +67,10 @@
 def test_hearsay_alone_shuns_no_engine() -> None:
     gateway = Gateway()
     every = frozenset(gateway.controller.router.engines)
-    gateway.tell(api.Hearsay(failing=every, until=gateway.now + 60))
+    gateway.tell(api.PeerReport(failing=every, valid_until=gateway.now + 60))
     chosen = set()
     for tables in range(100):
-        query, actions = gateway.ask(tables=tables)
+        query, actions = gateway.ask(table_group=tables)
         assert sends(actions)
         chosen.add(gateway.engine_of[query])
         gateway.end(query, api.Outcome.OK, after=0.01)
@@ -81,52 +83,52 @@
         gateway = Gateway()
         gateway.now += 5.0
         if heard:
-            gateway.tell(api.Hearsay(failing=frozenset({"e1"}), until=gateway.now + 60))
+            gateway.tell(api.PeerReport(failing=frozenset({"e1"}), valid_until=gateway.now + 60))
         gateway.now += 5.0
         view = gateway.controller.router.engines["e1"]
-        view.failing, view.faded = 0.2, gateway.now  # as after one error of its own
-        shunned[heard] = view.quarantined(gateway.now)
+        view.failure_level, view.failure_decayed_at = 0.2, gateway.now  # as after one error of its own
+        shunned[heard] = view.is_quarantined(gateway.now)
     assert shunned == {False: False, True: True}
 
 
 def test_an_engine_that_just_answered_well_is_judged_as_without_hearsay() -> None:
     gateway = Gateway()
-    gateway.tell(api.Hearsay(failing=frozenset({"e1"}), until=gateway.now + 60))
-    query = next(one for one in (gateway.ask(tables=tables)[0] for tables in range(100))
+    gateway.tell(api.PeerReport(failing=frozenset({"e1"}), valid_until=gateway.now + 60))
+    query = next(one for one in (gateway.ask(table_group=tables)[0] for tables in range(100))
                  if gateway.engine_of[one] == "e1")  # fmt: skip
     gateway.end(query, api.Outcome.OK, after=0.1)
     view = gateway.controller.router.engines["e1"]
-    view.failing, view.faded = 0.2, gateway.now
-    assert not view.quarantined(gateway.now)
-    assert view.quarantined(gateway.now + 1.01)  # 0.174 by then: over what hearsay leaves
+    view.failure_level, view.failure_decayed_at = 0.2, gateway.now
+    assert not view.is_quarantined(gateway.now)
+    assert view.is_quarantined(gateway.now + 1.01)  # 0.174 by then: over what hearsay leaves
 
 
 def test_hearsay_is_void_after_its_time_and_when_it_is_taken_back() -> None:
     gateway = Gateway()
     view = gateway.controller.router.engines["e1"]
-    gateway.tell(api.Hearsay(failing=frozenset({"e1"}), until=gateway.now + 2))
-    view.failing, view.faded = 0.2, gateway.now
-    assert view.shun_above(gateway.now) < 0.2 < view.shun_above(gateway.now + 2)
-    gateway.tell(api.Hearsay(failing=frozenset({"e2"}), until=gateway.now + 2))
-    assert view.shun_above(gateway.now) > 0.2
+    gateway.tell(api.PeerReport(failing=frozenset({"e1"}), valid_until=gateway.now + 2))
+    view.failure_level, view.failure_decayed_at = 0.2, gateway.now
+    assert view.quarantine_threshold(gateway.now) < 0.2 < view.quarantine_threshold(gateway.now + 2)
+    gateway.tell(api.PeerReport(failing=frozenset({"e2"}), valid_until=gateway.now + 2))
+    assert view.quarantine_threshold(gateway.now) > 0.2
 
 
 def test_an_engine_that_restarted_is_doubted_no_more() -> None:
     gateway = Gateway()
-    gateway.tell(api.Hearsay(failing=frozenset({"e1"}), until=gateway.now + 60))
-    gateway.tell(api.ListUpdate(api.ListKind.CHANGES, 2, (build.entry(1, started=gateway.now),)))
+    gateway.tell(api.PeerReport(failing=frozenset({"e1"}), valid_until=gateway.now + 60))
+    gateway.tell(api.ListUpdate(api.ListKind.CHANGES, 2, (build.entry(1, started_at=gateway.now),)))
     view = gateway.controller.router.engines["e1"]
-    assert view.shun_above(gateway.now) == pytest.approx(0.25)
+    assert view.quarantine_threshold(gateway.now) == pytest.approx(0.25)
 
 
 def test_a_drain_heard_early_takes_no_new_query_and_ends_by_itself() -> None:
     gateway = Gateway()
-    gateway.tell(api.Hearsay(draining=frozenset({"e1"}), until=gateway.now + 3))
+    gateway.tell(api.PeerReport(draining=frozenset({"e1"}), valid_until=gateway.now + 3))
 
     def used() -> set[str]:
         engines = set()
         for tables in range(100):
-            query, _ = gateway.ask(tables=tables)
+            query, _ = gateway.ask(table_group=tables)
             engines.add(gateway.engine_of[query])
             gateway.end(query, api.Outcome.OK, after=0.01)
         return engines
@@ -140,38 +142,38 @@
     gateway = Gateway(number=2)
     query, _ = gateway.ask(LOOKUP)
     other = ({"e0", "e1"} - {gateway.engine_of[query]}).pop()
-    gateway.tell(api.Hearsay(draining=frozenset({other}), until=gateway.now + 3))
+    gateway.tell(api.PeerReport(draining=frozenset({other}), valid_until=gateway.now + 3))
     again = sends(gateway.end(query, api.Outcome.RESET))
     assert not [one for one in again if one.engine == other]
 
 
 def test_a_cold_engine_is_divided_by_the_bound_whatever_lives() -> None:
     spent = {}
-    for told in (None, api.GroupSize(bound=2, living=1), api.GroupSize(bound=20, living=1)):
+    for told in (None, api.GroupSize(upper_bound=2, alive=1), api.GroupSize(upper_bound=20, alive=1)):
         gateway = Gateway(number=0)
         if told is not None:
             gateway.tell(told)
-        gateway.tell(api.ListUpdate(api.ListKind.FULL, 2, (build.entry(0, started=gateway.now),)))
+        gateway.tell(api.ListUpdate(api.ListKind.FULL, 2, (build.entry(0, started_at=gateway.now),)))
         gateway.tick(times=30)
         view = gateway.controller.router.engines["e0"]
         sent = 0.0
-        while view.cold_room(gateway.now, 0.01):
-            view.cold_spent += 0.01
+        while view.cold_budget_allows(gateway.now, 0.01):
+            view.cold_work_sent += 0.01
             sent += 0.01
-        spent[told.bound if told else None] = sent
+        spent[told.upper_bound if told else None] = sent
     assert spent[None] == spent[2]
     assert spent[20] <= spent[2] / 10 + 0.01
 
 
 def test_fewer_that_live_raise_the_even_part_of_an_engine_but_no_rule() -> None:
-    gateway = Gateway(gateways=10)
-    gateway.tell(api.GroupSize(bound=10, living=5))
+    gateway = Gateway(gateway_count=10)
+    gateway.tell(api.GroupSize(upper_bound=10, alive=5))
     gateway.tell(api.ListUpdate(api.ListKind.CHANGES, 2, (build.entry(9),)))
-    assert gateway.controller.router.engines["e9"].share == pytest.approx(1 / 5)
-    assert gateway.controller.router.size.bound == 10
+    assert gateway.controller.router.engines["e9"].capacity_share == pytest.approx(1 / 5)
+    assert gateway.controller.router.group_size.upper_bound == 10
 
 
 def test_nonsense_sizes_are_taken_as_one() -> None:
     gateway = Gateway()
-    gateway.tell(api.GroupSize(bound=0, living=-3))
+    gateway.tell(api.GroupSize(upper_bound=0, alive=-3))
     assert sends(gateway.ask(REPORT)[1])
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -41,7 +41,7 @@
     read = parse_configuration(orjson.dumps(configuration()))
     assert read.most_engine_connections + read.most_client_connections < 1024 - 1024 // 8 - MOST_ACCEPTED
     assert read.most_client_connections >= 1024 // 3
-    assert read.settings.limits.max_open == 1024 // 3
+    assert read.settings.limits.max_open_queries == 1024 // 3
 
 
 @pytest.mark.parametrize(
--- a/tests/test_rules_hold.py
+++ b/tests/test_rules_hold.py
@@ -17,7 +17,7 @@
 from tests.checker import BrokenRuleError, Checker
 
 STEP = 0.005
-OUTCOMES = [one for one in api.Outcome if one not in (api.Outcome.MOOT, api.Outcome.CANCELLED)]
+OUTCOMES = [one for one in api.Outcome if one not in (api.Outcome.NOT_STARTED, api.Outcome.CANCELLED)]
 
 
 @dataclass(frozen=True)
@@ -30,10 +30,16 @@
 
 
 def draw_setting(random: Random) -> Setting:
-    effects = [random.choice(list(api.Effect)) for _ in build.CLASSES]
+    effects = [random.choice(list(api.RepeatSafety)) for _ in build.CLASSES]
     scopes = [random.choice(list(api.DedupScope)) for _ in build.CLASSES]
     classes = tuple(
-        replace(one, effect=effect, dedup_scope=scope, dedup_window=random.uniform(0.3, 3.0), deadline=3.0)
+        replace(
+            one,
+            repeat_safety=effect,
+            dedup_scope=scope,
+            dedup_window_s=random.uniform(0.3, 3.0),
+            deadline_s=3.0,
+        )
         for one, effect, scope in zip(build.CLASSES, effects, scopes, strict=True)
     )
     bound = replace(
@@ -41,12 +47,12 @@
     )
     rules = replace(
         build.RULES,
-        order_settle=random.choice([0.0, 0.4]),
-        retry_window=random.choice([0.0, 1.0]),
-        retry_free=2.0,
-        retry_share=0.1,
+        order_settle_s=random.choice([0.0, 0.4]),
+        retry_window_s=random.choice([0.0, 1.0]),
+        retry_budget_floor=2.0,
+        retry_budget_ratio=0.1,
     )
-    limits = replace(build.LIMITS, cancel=random.random() < 0.5)
+    limits = replace(build.LIMITS, cancel_allowed=random.random() < 0.5)
     return Setting(limits, rules, (classes[0], bound, classes[2]))
 
 
@@ -102,13 +108,13 @@
         life = self.random.choice([0.004, 0.3, 1.0, 3.0])
         event = api.QueryArrived(
             query=next(self.serial),
-            query_class=query_class,
-            tenant=self.random.randrange(2),
+            class_index=query_class,
+            tenant_index=self.random.randrange(2),
             deadline=self.now + life,
-            key=self.random.randrange(3) if query_class == 2 else None,
-            cost=self.random.expovariate(3.0) + 0.01,
-            memory_mb=self.random.choice([None, 300.0]),
-            tables=self.random.randrange(6),
+            ordering_key=self.random.randrange(3) if query_class == 2 else None,
+            estimated_cost_s=self.random.expovariate(3.0) + 0.01,
+            estimated_memory_mb=self.random.choice([None, 300.0]),
+            table_group=self.random.randrange(6),
         )
         self.queries[event.query] = event
         if self.random.random() < 0.03:
@@ -119,7 +125,7 @@
         number = self.random.randrange(5)
         state = self.random.choice([api.EngineState.UP, *api.EngineState])
         started = self.random.choice([0.0, self.now - 0.1, self.now - 9.8])
-        one = build.entry(number, state=state, started=started)
+        one = build.entry(number, state=state, started_at=started)
         kind = self.random.choice([api.ListKind.CHANGES, api.ListKind.CHANGES, api.ListKind.FULL])
         return api.ListUpdate(kind, next(self.serial), (one,))
 
@@ -129,9 +135,9 @@
             if self.open.pop((event.query, event.attempt), None) is None:
                 return None
             return replace(
-                event, settled=event.outcome is api.Outcome.OK or self.checker.taken[event.query].ended
+                event, query_settled=event.outcome is api.Outcome.OK or self.checker.taken[event.query].ended
             )
-        if isinstance(event, api.AttemptNote) and (event.query, event.attempt) not in self.open:
+        if isinstance(event, api.AttemptStatus) and (event.query, event.attempt) not in self.open:
             return None
         return event
 
@@ -161,8 +167,8 @@
         took = self.random.expovariate(2.0) if outcome is not api.Outcome.TIMEOUT else expires
         if took >= expires:
             outcome, took = api.Outcome.TIMEOUT, expires
-        note = api.AttemptNote(
-            action.query, number, action.engine, api.NoteKind.PROGRESS, self.random.random()
+        note = api.AttemptStatus(
+            action.query, number, action.engine, api.AttemptStatusKind.PROGRESS, self.random.random()
         )
         self.later(took / 2, note)
         self.later(took, api.AttemptEnded(action.query, number, action.engine, outcome, took))
@@ -198,15 +204,15 @@
 
 def test_the_checker_sees_what_breaks_each_rule() -> None:
     """A checker that lets all pass would prove nothing."""
-    ask = api.QueryArrived(1, 0, 0, 10.0, cost=0.1)
-    load = api.QueryArrived(2, 2, 0, 20.0, key=5, cost=0.1)
+    ask = api.QueryArrived(1, 0, 0, 10.0, estimated_cost_s=0.1)
+    load = api.QueryArrived(2, 2, 0, 20.0, ordering_key=5, estimated_cost_s=0.1)
     send = api.Send(1, "e0")
     failed = api.AttemptEnded(1, 0, "e0", api.Outcome.ERROR, 0.1)
-    unsafe = build.change_class(0, effect=api.Effect.UNSAFE)
+    unsafe = build.change_class(0, repeat_safety=api.RepeatSafety.UNSAFE)
     bound = build.change_class(0, allowed_kinds=frozenset({1}))
     gone = api.ListUpdate(api.ListKind.CHANGES, 2, (build.entry(0, state=api.EngineState.DRAINING),))
-    cold = api.ListUpdate(api.ListKind.CHANGES, 2, (build.entry(0, started=0.5),))
-    huge = replace(ask, cost=50.0)
+    cold = api.ListUpdate(api.ListKind.CHANGES, 2, (build.entry(0, started_at=0.5),))
+    huge = replace(ask, estimated_cost_s=50.0)
     assert broken_by(build.CLASSES, [(0.0, ask)]) == "lost"
     assert broken_by(build.CLASSES, [(0.0, ask), (0.0, api.Refuse(1)), (0.0, api.Fail(1))]) == "lost"
     assert broken_by(unsafe, [(0.0, ask), (0.0, send), (1.0, failed), (1.0, send)]) == "twice"
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -31,9 +31,9 @@
 def play(gateway: Gateway, number: int = 60) -> None:
     """Ordinary traffic: queries, answers, notes and ticks."""
     for at in range(number):
-        query, _ = gateway.ask(at % 2, tables=at % 7)
+        query, _ = gateway.ask(at % 2, table_group=at % 7)
         engine = gateway.engine_of[query]
-        gateway.tell(api.AttemptNote(query, 0, engine, api.NoteKind.PROGRESS, 0.5), after=0.05)
+        gateway.tell(api.AttemptStatus(query, 0, engine, api.AttemptStatusKind.PROGRESS, 0.5), after=0.05)
         gateway.tick()
         gateway.end(query, api.Outcome.OK, after=0.05)
 
@@ -45,7 +45,7 @@
     looked = Looked(monkeypatch)
     counts = []
     for number in (8, 800):
-        gateway = Gateway(number=number, gateways=number * 6)
+        gateway = Gateway(number=number, gateway_count=number * 6)
         play(gateway)  # the hash orders are made once
         before = looked.count
         play(gateway)
@@ -93,9 +93,9 @@
 
 
 def test_a_gateway_among_many_still_sends_its_queries() -> None:
-    gateway = Gateway(number=30, gateways=250)
+    gateway = Gateway(number=30, gateway_count=250)
     for tables in range(20):
-        query, actions = gateway.ask(REPORT, cost=4.0, tables=tables)
+        query, actions = gateway.ask(REPORT, estimated_cost_s=4.0, table_group=tables)
         assert [one.query for one in sends(actions)] == [query]
 
 
@@ -103,27 +103,27 @@
     """Homes are alike at all gateways, and at a quiet one each looks idle: all took the first."""
     firsts = []
     for number in range(30):
-        gateway = Gateway(number=9, gateway=number, gateways=60)
-        firsts.append(gateway.engine_of[gateway.ask(tables=5)[0]])
+        gateway = Gateway(number=9, gateway_index=number, gateway_count=60)
+        firsts.append(gateway.engine_of[gateway.ask(table_group=5)[0]])
     assert all(firsts.count(one) == 10 for one in set(firsts))
     assert len(set(firsts)) == 3
 
 
 def test_an_engine_that_others_crowd_is_passed_over_by_its_report() -> None:
     """A gateway among many sees little of an engine by its own queries; reports tell of the others'."""
-    gateway = Gateway(number=9, gateways=60)
+    gateway = Gateway(number=9, gateway_count=60)
     query, _ = gateway.ask()
     crowded = gateway.engine_of[query]
-    gateway.end(query, api.Outcome.OK, report=api.LoadReport(busy=0.9, in_flight=60))
+    gateway.end(query, api.Outcome.OK, report=api.LoadReport(busy_share=0.9, in_flight=60))
     assert gateway.engine_of[gateway.ask()[0]] != crowded
 
 
 def test_a_busy_report_is_believed_until_a_better_one() -> None:
     """Where a gateway hears from an engine every few seconds, a belief of one second forgot the pressure."""
-    for later, most in ((None, 20), (api.LoadReport(busy=0.3), 60)):
+    for later, most in ((None, 20), (api.LoadReport(busy_share=0.3), 60)):
         gateway = Gateway(number=1)
         first, second = gateway.ask()[0], gateway.ask()[0]
-        gateway.end(first, api.Outcome.OK, report=api.LoadReport(busy=1.0))
+        gateway.end(first, api.Outcome.OK, report=api.LoadReport(busy_share=1.0))
         gateway.end(second, api.Outcome.OK, after=2.0, report=later)
         assert (len(sends(gateway.tell(*(gateway.query() for _ in range(60))))) == 60) is (most == 60)
 
@@ -141,11 +141,11 @@
     """When, and how much, all gateways of a fleet send to the one engine there is, which is cold."""
     sent = []
     for number in range(gateways):
-        gateway = Gateway(number=1, seed=number, gateway=number, gateways=gateways)
+        gateway = Gateway(number=1, seed=number, gateway_index=number, gateway_count=gateways)
         start = gateway.now
-        gateway.tell(api.ListUpdate(api.ListKind.CHANGES, 2, (build.entry(0, started=start),)))
+        gateway.tell(api.ListUpdate(api.ListKind.CHANGES, 2, (build.entry(0, started_at=start),)))
         for _ in range(int(seconds * per_second)):
-            actions = gateway.ask(cost=cost)[1] + gateway.tick(after=0.0)
+            actions = gateway.ask(estimated_cost_s=cost)[1] + gateway.tick(after=0.0)
             while out := sends(actions):
                 sent += [(gateway.now - start, cost) for _ in out]
                 actions = gateway.tell(*(gateway.ended(one.query, api.Outcome.OK, cost) for one in out))
@@ -157,7 +157,7 @@
 def test_many_gateways_neither_starve_a_cold_engine_nor_push_it_over(cost: float) -> None:
     """An even part was less than one query: cold engines got nothing until they were warm."""
     rules = build.RULES
-    total = rules.cold_multiple * rules.cold_from * 16 * rules.cold_window
+    total = rules.cold_budget_multiple * rules.cold_initial_speed * 16 * rules.cold_window_s
     sent = cold_work(gateways=120, cost=cost, seconds=8.0, per_second=4.0)
     windows = [sum(work for at, work in sent if start <= at < start + 1.0) for start in range(8)]
     assert max(windows) < total
@@ -185,14 +185,14 @@
 
 def jam(outcome: api.Outcome, gateways: int) -> int:
     """Attempts end as said on engines that still give signs; how many of a crowd are sent then."""
-    gateway = Gateway(number=10, gateways=gateways, limits=replace(build.LIMITS, max_attempts=1))
+    gateway = Gateway(number=10, gateway_count=gateways, limits=replace(build.LIMITS, max_attempts=1))
     for at in range(40):
-        query, _ = gateway.ask(tables=at)
-        note = api.AttemptNote(query, 0, gateway.engine_of[query], api.NoteKind.SPILLING, 9.0)
+        query, _ = gateway.ask(table_group=at)
+        note = api.AttemptStatus(query, 0, gateway.engine_of[query], api.AttemptStatusKind.SPILLING, 9.0)
         gateway.tell(note, after=1.0)
         gateway.end(query, outcome, after=3.0)
         gateway.tick(after=12.0)
-    return len(sends(gateway.tell(*(gateway.query(tables=one) for one in range(60)))))
+    return len(sends(gateway.tell(*(gateway.query(table_group=one) for one in range(60)))))
 
 
 def test_in_a_jam_a_gateway_among_many_keeps_to_part_of_its_even_bound() -> None:
