--- a/micahold/controller.py
+++ b/micahold/controller.py
@@ -1,4 +1,14 @@
-"""All decisions of micahold; types in ``micahold/interface.py``, and docs/design.md tells of each part."""
+"""All decisions of micahold; types in ``micahold/interface.py``, and docs/design.md describes each part.
+
+A gateway prices each query by its calibrated cost estimate, charges its tenant's token bucket, holds it
+until an engine has room, and chooses the engine by load within the table group's hash order. The module
+does no I/O and reads no clock: ``Controller.handle`` takes the time and the events, and returns actions.
+Random numbers come from a seeded generator, so that the same events give the same actions.
+
+Costs, prices and work are in thread-seconds: one second of one thread of an engine. Times are in seconds.
+Rule numbers refer to the seven rules that every history of events must keep; ``tests/checker.py`` checks
+them.
+"""
 
 from __future__ import annotations
 
@@ -15,254 +25,384 @@
 from micahold import interface as api
 from micahold.query import Query
 
-LEARN_RUNS, FACTOR_LIMIT = 50, 100.0  # runs in a mean of ln(seconds / cost); factors stay within 1 / this
-BURST_S, USE_HALF_LIFE_S = 2.0, 10.0  # a bucket holds this many seconds of its rate; a use fades by half
-HINT_JITTER = 0.5  # a retry hint grows by up to this share of itself
-BOUND_THREADS = 1.5  # threads a core at which an engine with one gateway alone is full
-HOMES = 3  # engines of a table group's hash order that are tried first
-PRESSURE = 1.6  # latency above best, as a multiple, from which bounds bind
-BUSY, BUSY_FRESH_S = 0.95, 4.0  # busy share that is pressure, for so long or until a better report
-SHARE_STEP, SHARE_LEAST = 0.1, 0.5  # how our share of an engine follows pressure; the least of the even part
-SHUN_ABOVE, FAIL_WEIGHT, CUT_WEIGHT = 0.25, 0.2, 0.9  # failing that quarantines; by an error, a cut
-SHUN_DOUBTED, WELL_S = 0.1, 1.0  # quarantines where others doubt it, without a good answer for so long
-STRAINED, STRAIN_BOUND = 0.5, 0.5  # part without an answer that is strain; part of the bound kept then
-PAUSE_S, PAUSE_MOST_S = 0.25, 2.0  # half the first, and the longest pause from a full engine
-PATIENCE, TRUST_S = (4.0, 0.25)  # silence counts after this many times the expected time, and this beyond it
-REPORT_HALF_LIFE_S, VIEW_HALF_LIFE_S = 2.0, 5.0  # for a report; for pace and failures of an engine
-COLD_SAFETY, COLD_ONE = 1 / 3, 1 / 16  # parts of a cold engine's allowance: spent in all, by one lot
-GRANT = 1.4  # memory granted, times the estimate: a spill costs the work again, a wait costs less
-TICK_S, WATCH_S = 0.05, 0.1  # pace of the checks while queries wait, while attempts are out
-PLACES = 0.75  # part of the queries a gateway can have open that is there for classes which earn nothing
-RUNAWAY = 3.0  # an attempt projected to last this many times the expected is begun anew, where allowed
-MAX_FRUITLESS_RUNS = (
-    4  # attempts that may have run and brought nothing: then it is the query, not the engines
-)
-
-
-QueueKey = tuple[bool, int, int, bool]  # late, tenant, class, tried before
+# Cost calibration and token buckets
+
+MEAN_WINDOW_RUNS = 50  # about as many recent runs make up a moving average
+MAX_PRICE_FACTOR = 100.0  # calibration multiplies or divides an estimate by at most this
+BUCKET_DEPTH_S = 2.0  # a token bucket holds at most what its rate adds in this time
+USE_HALF_LIFE_S = 10.0  # of a tenant's recent use, and of the worth and open time of a class
+RETRY_HINT_JITTER = 0.5  # a retry hint is lengthened by up to this share, so that clients return spread out
+
+# Load and pressure of engines
+
+MAX_THREADS_PER_CORE = 1.5  # an engine that a gateway has to itself is full at this many threads per core
+HOME_ENGINES = 3  # the first engines in a table group's hash order, which are tried first
+PRESSURE_RATIO = 1.6  # latency as a multiple of the best latency, from which thread bounds apply
+BUSY_SHARE = 0.95  # a reported busy or granted-memory share above this counts as pressure
+# A busy report counts for this long, or until a report that is not busy: with 1 s a gateway that hears from
+# an engine every few seconds forgets the pressure in between.
+BUSY_VALID_S = 4.0
+SHARE_STEP = 0.1  # relative change per tick of a gateway's share of an engine, up or down
+# Part of its even share of an engine that a gateway keeps under pressure. Down at one thread, the few slow
+# queries that were let in kept the pressure up while the engine was idle.
+MIN_EVEN_SHARE = 0.5
+
+# Engine health
+
+QUARANTINE_LEVEL = 0.25  # an engine whose failure level exceeds this is quarantined
+FAILURE_WEIGHT = 0.2  # weight of one error or success in the failure level, half of it in unanswered_share
+LOST_WEIGHT = 0.9  # weight of an attempt that the engine cut off or left unanswered: it alone quarantines
+SUSPECTED_QUARANTINE_LEVEL = 0.1  # the level that quarantines an engine which peers report as failing
+RECENT_OK_S = 1.0  # after a successful answer, peer reports do not lower the quarantine level for this long
+CONGESTED_SHARE = 0.5  # share of recent attempts without an answer in time, above which the pool is congested
+CONGESTED_BOUND = 0.5  # part of a gateway's even thread bound that stays usable in a congested pool
+MIN_FULL_BACKOFF_S = 0.25  # half of the first backoff from a full engine: it doubles before each use
+MAX_FULL_BACKOFF_S = 2.0  # bound of that backoff, before jitter
+SILENCE_MULTIPLE = 4.0  # an engine is silent after this many times an attempt's expected duration ...
+SILENCE_GRACE_S = 0.25  # ... and this long beyond it
+REPORT_HALF_LIFE_S = 2.0  # of the weight of an engine's load report
+HEALTH_HALF_LIFE_S = 5.0  # of an engine's failure level, and of the weight of its observed slowness
+
+# Cold engines
+
+COLD_SENT_SHARE = 1 / 3  # part of a cold engine's allowance that all gateways together send it
+COLD_QUERY_SHARE = 1 / 16  # part of that allowance which a single query may take by random draw
+
+# Attempts and timers
+
+MEMORY_GRANT_FACTOR = 1.4  # memory granted per estimated MB: a spill costs the work again, waiting costs less
+TICK_S = 0.05  # interval of the periodic checks while queries are held; also the margin at window edges
+WATCH_S = 0.1  # interval of those checks while attempts are in flight and no query is held
+UNEARNED_OPEN_SHARE = 0.75  # part of the open-query limit that a class may fill without earning anything
+RUNAWAY_MULTIPLE = 3.0  # an attempt projected to take this many times its expected duration is restarted
+MAX_FRUITLESS_RUNS = 4  # so many runs without a result: the fault lies with the query, not with the engines
+
+
+QueueKey = tuple[bool, int, int, bool]  # past the soft deadline, tenant index, class index, attempted before
 
 
 @dataclass(slots=True)
 class WeightedMean:
-    """Mean over about the last ``LEARN_RUNS`` runs; the sum and its weight fade alike."""
+    """A moving average over about the last ``MEAN_WINDOW_RUNS`` runs.
+
+    The weighted sum and the sum of weights decay by the same factor, so that old runs lose influence and the
+    mean is unbiased while there are few runs.
+    """
 
     total: float = 0.0
     weight: float = 0.0
 
     def add(self, value: float, weight: float = 1.0) -> None:
-        self.total += value * weight - self.total / LEARN_RUNS
-        self.weight += weight - self.weight / LEARN_RUNS
+        """Adds a value and lets the earlier ones decay by 1 / ``MEAN_WINDOW_RUNS``."""
+        self.total += value * weight - self.total / MEAN_WINDOW_RUNS
+        self.weight += weight - self.weight / MEAN_WINDOW_RUNS
 
     @property
     def mean(self) -> float:
+        """The weighted mean, 0 while there are no values."""
         return self.total / self.weight if self.weight > 0 else 0.0
 
 
 class Calibration:
-    """Prices: the told cost, or the class's learned mean, times the factor of class and table group."""
+    """Learns from finished runs what queries cost and how long they take.
+
+    A price is the estimated cost, or the class's learned mean cost, times a factor that compares the runs
+    of the query's class and table group with all runs. Ratios are kept as ln(measured thread-seconds /
+    estimated cost), so that over- and underestimates weigh the same.
+    """
 
     def __init__(self, classes: Sequence[api.QueryClass]) -> None:
-        self.group_log_ratio: dict[tuple[int, int], WeightedMean] = {}
-        # By class: learned cost, mean of ln(seconds / cost), and how far runs lie from that mean, either way.
-        self.class_cost_s, self.class_log_ratio, self.log_ratio_spread = (
-            [WeightedMean() for _ in classes] for _ in range(3)
-        )
-        self.best_log_ratio = [math.inf] * len(classes)  # lowest mean of ln(seconds / cost) so far
-        self.typical_elapsed_s = [kind.soft_deadline_s / 2 for kind in classes]
-        self.overall_log_ratio, self.mean_price, self.mean_worth = (
-            WeightedMean(),
-            WeightedMean(),
-            WeightedMean(),
-        )
+        self.group_log_ratio: dict[tuple[int, int], WeightedMean] = {}  # by class index and table group
+        # The following lists are by class index.
+        # Thread-seconds of queries that arrived without an estimate.
+        self.class_cost_s = [WeightedMean() for _ in classes]
+        self.class_log_ratio = [WeightedMean() for _ in classes]
+        self.log_ratio_spread = [WeightedMean() for _ in classes]  # mean absolute deviation of the log ratio
+        self.best_log_ratio = [math.inf] * len(classes)  # lowest mean so far; infinite while there is none
+        # Moving average of run durations, half the soft deadline at first.
+        self.typical_elapsed_s = [query_class.soft_deadline_s / 2 for query_class in classes]
+        self.overall_log_ratio = WeightedMean()  # weighted by estimated cost
+        self.mean_price = WeightedMean()
+        self.mean_worth = WeightedMean()
 
     def price(self, query: Query) -> float:
+        """What a query is charged, in thread-seconds: its estimate, corrected for class and table group."""
         group = self.group_log_ratio.get((query.arrival.class_index, query.arrival.table_group))
         factor = math.exp(group.mean - self.overall_log_ratio.mean) if group is not None else 1.0
-        return query.estimated_cost_s * min(FACTOR_LIMIT, max(1 / FACTOR_LIMIT, factor))
+        return query.estimated_cost_s * min(MAX_PRICE_FACTOR, max(1 / MAX_PRICE_FACTOR, factor))
 
     def expected_s(self, query: Query) -> float:
-        """Time the query takes on an engine at its best."""
+        """The time in seconds that a query takes on an engine at its best."""
         best = self.best_log_ratio[query.arrival.class_index]
         return (
             query.estimated_cost_s * (math.exp(best) if best < math.inf else 1.0) / query.query_class.threads
         )
 
     def duration_known(self, query: Query) -> bool:
+        """Whether enough runs of the query's class have ended for ``expected_s`` to be learned."""
         return self.best_log_ratio[query.arrival.class_index] < math.inf
 
-    def learn(self, query: Query, elapsed: float, engine_pace: float) -> None:
-        """One run that ended well; the engine's own pace is taken out, so a slow one inflates no price."""
-        index, seconds = query.arrival.class_index, elapsed * query.query_class.threads
+    def learn(self, query: Query, elapsed_s: float, engine_slowness: float) -> None:
+        """Learns from one successful run.
+
+        ``engine_slowness`` is the engine's latency relative to the median engine. It is taken out of costs
+        and group ratios, so that a slow engine raises no price.
+        """
+        class_index = query.arrival.class_index
+        thread_seconds = elapsed_s * query.query_class.threads
         if query.arrival.estimated_cost_s is None:
-            self.class_cost_s[index].add(seconds / max(1.0, engine_pace))
-        unit = math.log(max(seconds, 1e-6) / max(query.estimated_cost_s, 1e-6))
-        self.class_log_ratio[index].add(unit)
-        self.log_ratio_spread[index].add(abs(unit - self.class_log_ratio[index].mean))
-        self.typical_elapsed_s[index] += (elapsed - self.typical_elapsed_s[index]) / LEARN_RUNS
-        if self.class_log_ratio[index].weight >= LEARN_RUNS / 6:
-            self.best_log_ratio[index] = min(self.class_log_ratio[index].mean, self.best_log_ratio[index])
-        paced = unit - math.log(engine_pace)
-        self.group_log_ratio.setdefault((index, query.arrival.table_group), WeightedMean()).add(paced)
-        self.overall_log_ratio.add(paced, query.estimated_cost_s)
+            self.class_cost_s[class_index].add(thread_seconds / max(1.0, engine_slowness))
+        log_ratio = math.log(max(thread_seconds, 1e-6) / max(query.estimated_cost_s, 1e-6))
+        self.class_log_ratio[class_index].add(log_ratio)
+        self.log_ratio_spread[class_index].add(abs(log_ratio - self.class_log_ratio[class_index].mean))
+        self.typical_elapsed_s[class_index] += (
+            elapsed_s - self.typical_elapsed_s[class_index]
+        ) / MEAN_WINDOW_RUNS
+        if self.class_log_ratio[class_index].weight >= MEAN_WINDOW_RUNS / 6:
+            self.best_log_ratio[class_index] = min(
+                self.class_log_ratio[class_index].mean, self.best_log_ratio[class_index]
+            )
+        corrected_log_ratio = log_ratio - math.log(engine_slowness)
+        self.group_log_ratio.setdefault((class_index, query.arrival.table_group), WeightedMean()).add(
+            corrected_log_ratio
+        )
+        self.overall_log_ratio.add(corrected_log_ratio, query.estimated_cost_s)
 
 
 class TokenBucket:
-    """A tenant's token bucket, which may go into debt, and its use of late, which fades by half-life."""
+    """A tenant's token bucket in thread-seconds, which may go into debt, and the tenant's recent use."""
 
     def __init__(self, share: float) -> None:
-        self.share, self.rate, self.recent_use, self.level, self.updated_at = (
-            max(share, 1e-9),
-            0.0,
-            0.0,
-            math.inf,
-            -math.inf,
-        )
+        self.share = max(share, 1e-9)
+        self.rate = 0.0  # thread-seconds per second
+        self.recent_use = 0.0  # thread-seconds, with exponential decay
+        self.level = math.inf  # a new bucket is full: the first refill cuts it to its depth
+        self.updated_at = -math.inf
 
     def refill(self, now: float, rate: float) -> None:
-        passed, self.updated_at, self.rate = now - self.updated_at, now, rate
-        self.level = min(rate * BURST_S, self.level + rate * passed)
-        self.recent_use *= 0.5 ** (passed / USE_HALF_LIFE_S)
+        """Adds what ``rate`` yields since the last call, up to the bucket's depth, and lets the use decay."""
+        elapsed_s = now - self.updated_at
+        self.updated_at = now
+        self.rate = rate
+        self.level = min(rate * BUCKET_DEPTH_S, self.level + rate * elapsed_s)
+        self.recent_use *= 0.5 ** (elapsed_s / USE_HALF_LIFE_S)
 
 
 class OpenQueryYield:
-    """Worth earned with a second of an open query, also of those open still; both fade by half-life."""
+    """The worth that a class earns per second of an open query.
+
+    The seconds of queries that are still open count as well. Worth and seconds decay by the same half-life.
+    """
 
     def __init__(self) -> None:
-        self.open_count, self.earned_worth, self.open_seconds, self.updated_at = 0, 0.0, 0.0, 0.0
-
-    def update(self, now: float, more: int, worth: float = 0.0) -> float:
-        fade = 0.5 ** ((now - self.updated_at) / USE_HALF_LIFE_S)
-        self.open_seconds = (self.open_seconds + self.open_count * (now - self.updated_at)) * fade
-        self.earned_worth, self.open_count, self.updated_at = (
-            self.earned_worth * fade + worth,
-            self.open_count + more,
-            now,
-        )
+        self.open_count = 0
+        self.earned_worth = 0.0
+        self.open_seconds = 0.0
+        self.updated_at = 0.0
+
+    def update(self, now: float, open_change: int, worth: float = 0.0) -> float:
+        """Changes the number of open queries, adds earned worth, and returns the worth per open second."""
+        decay = 0.5 ** ((now - self.updated_at) / USE_HALF_LIFE_S)
+        self.open_seconds = (self.open_seconds + self.open_count * (now - self.updated_at)) * decay
+        self.earned_worth = self.earned_worth * decay + worth
+        self.open_count = self.open_count + open_change
+        self.updated_at = now
         return self.earned_worth / max(self.open_seconds, 1e-9)
 
 
 class RetryBudget:
-    """Further attempts within the rationed window; no ration where the window is 0."""
+    """Limits further attempts within a sliding window; a window of 0 means no limit.
+
+    The budget is a fixed number plus a ratio of the queries that arrived within the window.
+    """
 
     def __init__(self, rules: api.Rules) -> None:
-        self.rules, self.arrivals, self.further_attempts = rules, deque[float](), deque[float]()
+        self.rules = rules
+        self.arrivals = deque[float]()  # times at which queries arrived
+        self.further_attempts = deque[float]()  # times of attempts after a query's first
 
     def allows(self, now: float) -> bool:
-        """Taken queries leave the window a bit early, attempts a bit late: an edge breaks no rule."""
-        since = now - self.rules.retry_window_s
-        while self.arrivals and self.arrivals[0] <= since + TICK_S:
+        """Whether one more further attempt fits the budget.
+
+        Arrivals leave the window one tick early and attempts one tick late, so that no rounding at the
+        window's edge exceeds the limit.
+        """
+        window_start = now - self.rules.retry_window_s
+        while self.arrivals and self.arrivals[0] <= window_start + TICK_S:
             self.arrivals.popleft()
-        while self.further_attempts and self.further_attempts[0] < since - TICK_S:
+        while self.further_attempts and self.further_attempts[0] < window_start - TICK_S:
             self.further_attempts.popleft()
-        most = self.rules.retry_budget_floor + self.rules.retry_budget_ratio * len(self.arrivals)
-        return self.rules.retry_window_s <= 0 or len(self.further_attempts) + 1 <= most
+        max_further = self.rules.retry_budget_floor + self.rules.retry_budget_ratio * len(self.arrivals)
+        return self.rules.retry_window_s <= 0 or len(self.further_attempts) + 1 <= max_further
 
 
 class EngineView:
-    """What this gateway knows of one engine."""
+    """What this gateway has observed of one engine: load, slowness, failures, quarantine and cold start."""
 
     def __init__(
-        self, entry: api.EngineEntry, settings: api.Settings, now: float, random: Random, size: api.GroupSize
+        self,
+        entry: api.EngineEntry,
+        settings: api.Settings,
+        now: float,
+        random: Random,
+        group_size: api.GroupSize,
     ) -> None:
-        self.settings, self.entry, self.group_size = settings, entry, size
-        self.in_flight: dict[int, Query] = {}
+        self.settings = settings
+        self.entry = entry
+        self.group_size = group_size  # shared with the router, which changes it
+        self.in_flight: dict[int, Query] = {}  # queries of this gateway with an attempt on the engine
         self.cores = next((kind.cores for kind in settings.engine_kinds[entry.kind :]), 0.0) or 1.0
-        self.capacity_share, self.threads_in_flight, self.full_backoff_s = 1.0 / size.alive, 0, PAUSE_S
-        self.log_slowness = self.log_slowness_in_flight = (
-            0.0  # ln of latency over best, by ended runs; by those out, which only grows
-        )
-        self.failure_level = self.others_per_core = self.cold_window_index = self.cold_work_sent = (
-            self.cold_draw
-        ) = 0.0
-        self.is_silent = self.half_open = self.last_attempt_unanswered = (
-            False  # by those out; till it answers; by the last end
-        )
-        self.last_response_at = self.failure_decayed_at = now
-        self.slowness_updated_at = self.reported_at = self.busy_until = self.backoff_until = -math.inf
-        self.suspected_until = self.drain_reported_until = (
-            self.last_ok_at
-        ) = -math.inf  # heard so until then; its last good answer
-        self.random, self.cold_phase = random, random.random() * settings.rules.cold_window_s
+        self.capacity_share = 1.0 / group_size.alive  # this gateway's part of the engine's threads
+        self.threads_in_flight = 0
+        self.full_backoff_s = MIN_FULL_BACKOFF_S
+        # Slowness is ln(duration / best duration). Attempts in flight only raise it as they age.
+        self.log_slowness = 0.0  # of attempts that ended well
+        self.log_slowness_in_flight = 0.0
+        self.failure_level = 0.0  # moving average of failures, 0 to 1, with exponential decay
+        self.others_per_core = 0.0  # queries of other gateways per core, by the last load report
+        self.cold_window_index = 0.0
+        self.cold_work_sent = 0.0  # thread-seconds sent in the current cold window
+        self.cold_draw = 0.0  # uniform random number of the current cold window
+        self.is_silent = False  # attempts in flight are overdue, and the engine gives no sign
+        self.half_open = False  # after quarantine, one query at a time until one is answered
+        self.last_attempt_unanswered = False
+        self.last_response_at = now
+        self.failure_decayed_at = now
+        self.slowness_updated_at = -math.inf
+        self.reported_at = -math.inf
+        self.busy_until = -math.inf
+        self.backoff_until = -math.inf
+        self.suspected_until = -math.inf  # peers report the engine as failing until then
+        self.drain_reported_until = -math.inf  # peers report the engine as draining until then
+        self.last_ok_at = -math.inf
+        self.random = random
+        # A random offset per gateway, so that cold windows do not start at all gateways at once.
+        self.cold_phase_s = random.random() * settings.rules.cold_window_s
 
     def is_cold(self, now: float) -> bool:
+        """Whether the engine started so recently that its cold-start budget applies."""
         return self.entry.started_at > 0 and now < self.entry.started_at + self.settings.rules.cold_duration_s
 
-    def cold_budget_allows(self, now: float, work: float) -> bool:
-        """Rule 4: this gateway's even part; one query that is more goes by lot, as often as adds up to it."""
+    def cold_budget_allows(self, now: float, work_s: float) -> bool:
+        """Whether a cold engine may be sent a query of ``work_s`` thread-seconds (rule 4).
+
+        The allowance of one window is divided evenly between the gateways. A first query that exceeds the
+        gateway's part is sent only in as many randomly drawn windows as keep the mean within that part;
+        otherwise an engine whose part is less than one query would get none until it is warm. A query that
+        needs more than ``COLD_QUERY_SHARE`` of the whole allowance is not sent.
+        """
         rules = self.settings.rules
         if not self.is_cold(now):
             return True
-        window = (now + self.cold_phase) // (rules.cold_window_s + TICK_S)
-        if window != self.cold_window_index:
-            self.cold_window_index, self.cold_work_sent, self.cold_draw = window, 0.0, self.random.random()
-        total = rules.cold_budget_multiple * rules.cold_initial_speed * self.cores * rules.cold_window_s
-        part = total * COLD_SAFETY / self.group_size.upper_bound
-        by_lot = work <= max(part, total * COLD_ONE) and work * self.cold_draw <= part
-        return self.cold_work_sent + work <= part if self.cold_work_sent > 0 else by_lot
+        window_index = (now + self.cold_phase_s) // (rules.cold_window_s + TICK_S)
+        if window_index != self.cold_window_index:
+            self.cold_window_index = window_index
+            self.cold_work_sent = 0.0
+            self.cold_draw = self.random.random()
+        allowance_s = rules.cold_budget_multiple * rules.cold_initial_speed * self.cores * rules.cold_window_s
+        part_s = allowance_s * COLD_SENT_SHARE / self.group_size.upper_bound
+        first_fits = (
+            work_s <= max(part_s, allowance_s * COLD_QUERY_SHARE) and work_s * self.cold_draw <= part_s
+        )
+        return self.cold_work_sent + work_s <= part_s if self.cold_work_sent > 0 else first_fits
 
     def is_under_pressure(self, now: float) -> bool:
+        """Whether latency or a recent load report shows that the engine is overloaded."""
         return (
-            max(self.log_slowness, self.log_slowness_in_flight) > math.log(PRESSURE) or now < self.busy_until
+            max(self.log_slowness, self.log_slowness_in_flight) > math.log(PRESSURE_RATIO)
+            or now < self.busy_until
         )
 
     def quarantine_threshold(self, now: float) -> float:
-        """Hearsay shuns nobody: it takes fewer failures of our own, unless it has just answered well."""
-        return SHUN_DOUBTED if now < self.suspected_until and now > self.last_ok_at + WELL_S else SHUN_ABOVE
+        """The failure level above which the engine is quarantined.
 
-    def has_room(self, now: float, always: bool) -> bool:
+        Peer reports alone never quarantine an engine. They lower the threshold, so that fewer failures of
+        this gateway's own attempts suffice, unless the engine has just answered one of them successfully.
+        """
+        return (
+            SUSPECTED_QUARANTINE_LEVEL
+            if now < self.suspected_until and now > self.last_ok_at + RECENT_OK_S
+            else QUARANTINE_LEVEL
+        )
+
+    def has_room(self, now: float, enforce_bound: bool) -> bool:
+        """Whether the engine can be sent another query.
+
+        A half-open engine takes one query at a time. Others are not used during their backoff after a FULL
+        outcome. The thread bound applies under pressure, or always with ``enforce_bound``.
+        """
         if self.half_open and self.failure_level <= self.quarantine_threshold(now):
-            return not self.in_flight  # just back: one query at a time until it has answered one
-        bound = max(1.0, BOUND_THREADS * self.cores * self.capacity_share)
+            return not self.in_flight
+        max_threads = max(1.0, MAX_THREADS_PER_CORE * self.cores * self.capacity_share)
         return now >= self.backoff_until and (
-            self.threads_in_flight < bound or not (always or self.is_under_pressure(now))
+            self.threads_in_flight < max_threads or not (enforce_bound or self.is_under_pressure(now))
         )
 
-    def has_data_load_on(self, tables: int) -> bool:
-        """A load of ours has that group there: other loads and readers that wait would stand still."""
+    def has_data_load_on(self, table_group: int) -> bool:
+        """Whether a data load of this gateway runs on the table group here.
+
+        Other data loads and readers that wait for loads would be blocked behind it.
+        """
         return any(
-            query.query_class.is_data_load and query.arrival.table_group == tables
+            query.query_class.is_data_load and query.arrival.table_group == table_group
             for query in self.in_flight.values()
         )
 
     def is_quarantined(self, now: float) -> bool:
-        """The way back is by time alone: failures fade, so each gateway tries again now and then."""
-        self.failure_level, self.failure_decayed_at = (
-            self.failure_level * 0.5 ** ((now - self.failure_decayed_at) / VIEW_HALF_LIFE_S),
-            now,
+        """Lets the failure level decay and returns whether the engine is quarantined or silent.
+
+        Quarantine ends by decay alone: each gateway tries the engine again now and then, without probes.
+        """
+        self.failure_level = self.failure_level * 0.5 ** (
+            (now - self.failure_decayed_at) / HEALTH_HALF_LIFE_S
         )
-        shunned = self.failure_level > self.quarantine_threshold(now)
-        self.half_open = self.half_open or shunned
-        return self.is_silent or shunned
+        self.failure_decayed_at = now
+        quarantined = self.failure_level > self.quarantine_threshold(now)
+        self.half_open = self.half_open or quarantined
+        return self.is_silent or quarantined
 
     def adjust_share(self, now: float, step: float) -> float:
-        """The share of this engine that is ours: 1 / gateways until latency tells otherwise; cores gained."""
-        one, before, even = (
-            1.0 / (BOUND_THREADS * self.cores),
-            self.capacity_share,
-            1.0 / self.group_size.alive,
-        )
-        held, pressed = self.threads_in_flight * one, self.is_under_pressure(now)
-        if not pressed and held > self.capacity_share * (1 - SHARE_STEP):
-            self.capacity_share = min(1.0, max(self.capacity_share * (1 + step), held))
-        elif pressed and held >= max(one, self.capacity_share) * (1 - SHARE_STEP):
+        """Adjusts this gateway's share of the engine by pressure; returns the change in cores.
+
+        The share starts at 1 / gateways. It grows by the relative ``step`` while it is used up without
+        pressure, and shrinks under pressure, to no less than one thread or ``MIN_EVEN_SHARE`` of the even
+        share.
+        """
+        thread_share = 1.0 / (MAX_THREADS_PER_CORE * self.cores)
+        previous_share = self.capacity_share
+        even_share = 1.0 / self.group_size.alive
+        used_share = self.threads_in_flight * thread_share
+        under_pressure = self.is_under_pressure(now)
+        if not under_pressure and used_share > self.capacity_share * (1 - SHARE_STEP):
+            self.capacity_share = min(1.0, max(self.capacity_share * (1 + step), used_share))
+        elif under_pressure and used_share >= max(thread_share, self.capacity_share) * (1 - SHARE_STEP):
             self.capacity_share = max(
-                min(even, max(one, SHARE_LEAST * even)), self.capacity_share * (1 - step)
+                min(even_share, max(thread_share, MIN_EVEN_SHARE * even_share)),
+                self.capacity_share * (1 - step),
             )
-        return (self.capacity_share - before) * self.cores
-
-    def update_silence(self, now: float, note_period: float) -> None:
-        """No sign for longer than some attempt should have taken: held against it until it gives one."""
-        waited = sum(now - query.sent_at for query in self.in_flight.values())
-        best = sum(query.expected_s for query in self.in_flight.values())
-        # What is out is out because it is long: the same crowd shows about twice as strong as in ended runs.
-        self.log_slowness_in_flight = math.log(max(waited / best / 2, 1.0)) if best > 0 else 0.0
-        # Nobody knows how long a class takes that is not learnt: while the engine has its runs, they go on.
-        pace = PATIENCE * math.exp(max(0.0, self.log_slowness))
-        dues = [(2 * note_period or pace * one.expected_s + TRUST_S, one) for one in self.in_flight.values()]
+        return (self.capacity_share - previous_share) * self.cores
+
+    def update_silence(self, now: float, status_period_s: float) -> None:
+        """Updates the slowness by attempts in flight, and whether the engine is silent.
+
+        The engine is silent while it has given no sign for longer than one of its attempts should have
+        taken, or for two status periods where engines send status messages.
+        """
+        waited_s = sum(now - query.sent_at for query in self.in_flight.values())
+        best_s = sum(query.expected_s for query in self.in_flight.values())
+        # Attempts in flight are biased towards long ones: the same load appears about twice as strong in
+        # them as in attempts that ended, hence the division by two.
+        self.log_slowness_in_flight = math.log(max(waited_s / best_s / 2, 1.0)) if best_s > 0 else 0.0
+        patience = SILENCE_MULTIPLE * math.exp(max(0.0, self.log_slowness))
+        due_after_s = [
+            (2 * status_period_s or patience * query.expected_s + SILENCE_GRACE_S, query)
+            for query in self.in_flight.values()
+        ]
+        # Where the class's duration is not learned yet, an attempt that the engine confirms is left running.
         self.is_silent = any(
-            now - max(one.sent_at, self.last_response_at) > due
-            and (one.duration_known or now > one.confirmed_at + PATIENCE * TRUST_S)
-            for due, one in dues
+            now - max(query.sent_at, self.last_response_at) > due_s
+            and (query.duration_known or now > query.confirmed_at + SILENCE_MULTIPLE * SILENCE_GRACE_S)
+            for due_s, query in due_after_s
         )
 
 
@@ -270,72 +410,102 @@
 
 
 class Router:
-    """Which engine a query goes to: hash order by table group, alike at all gateways."""
+    """Chooses the engine of a query.
+
+    Each table group has its own hash order of the engines, the same at all gateways, so that queries of one
+    group go to the same few home engines.
+    """
 
     def __init__(self, settings: api.Settings, calibration: Calibration, random: Random) -> None:
-        self.settings, self.calibration, self.random = settings, calibration, random
-        self.engines, self.listed = dict[str, EngineView](), dict[str, EngineView]()  # all; those not gone
-        self.group_size, self.report_weight, self.peer_reported = api.GroupSize(1, 1), 0.0, frozenset[str]()
+        self.settings = settings
+        self.calibration = calibration
+        self.random = random
+        self.engines = dict[str, EngineView]()  # all views, also of engines that are gone
+        self.listed = dict[str, EngineView]()  # views of engines in the list that are not gone
+        self.group_size = api.GroupSize(1, 1)
+        self.report_weight = 0.0  # weight of other gateways' load, as engines report it, 0 to 1
+        self.peer_reported = frozenset[str]()  # engines named in the last peer report
         self.set_group_size(api.GroupSize(settings.gateway_count, settings.gateway_count))
-        self.unanswered_share = 0.0  # part of the attempts of late that no answer came to in time
-        self.hash_orders, self.active_engines = (
-            dict[int, EngineViews](),
-            dict[str, EngineView](),
-        )  # active: attempts of ours out
-        # Our threads, on all engines; cores of all up; our share of those not gone; others' queries a core.
-        self.threads_in_flight, self.total_cores, self.own_cores, self.mean_others_per_core = 0, 0.0, 0.0, 0.0
-        self.sorted_slowness, self.median_slowness = (
-            list[float](),
-            0.0,
-        )  # slowness of engines seen, in order, and its middle
+        # Moving average: 1 for an attempt without an answer in time on an engine that still responds, 0 for
+        # a success.
+        self.unanswered_share = 0.0
+        self.hash_orders = dict[int, EngineViews]()  # by table group
+        self.active_engines = dict[str, EngineView]()  # engines with attempts of this gateway in flight
+        self.threads_in_flight = 0  # of this gateway, on all engines
+        self.total_cores = 0.0  # of all engines that are up
+        self.own_cores = 0.0  # this gateway's share of the cores of listed engines
+        self.mean_others_per_core = 0.0  # moving average over load reports
+        self.sorted_slowness = list[float]()  # log slowness of the observed engines, ascending
+        self.median_slowness = 0.0
 
     def set_group_size(self, size: api.GroupSize) -> None:
-        """What a rule allows is divided by ``bound``, all else by ``living``."""
-        self.group_size.upper_bound, self.group_size.alive = max(1, size.upper_bound), max(1, size.alive)
-        self.report_weight = max(
-            0.0, 1.0 - 4.0 / self.group_size.alive
-        )  # among few, own threads tell more than reports
-
-    def apply_peer_report(self, said: api.PeerReport) -> None:
-        before, self.peer_reported = self.peer_reported, said.failing | said.draining
-        for view in [self.engines[one] for one in before | self.peer_reported if one in self.engines]:
-            view.suspected_until = said.valid_until if view.entry.engine in said.failing else -math.inf
-            view.drain_reported_until = said.valid_until if view.entry.engine in said.draining else -math.inf
-
-    def hash_order(self, tables: int) -> list[EngineView]:
-        if tables not in self.hash_orders:
-            rank = {one: blake2b(f"{tables}:{one}".encode(), digest_size=8).digest() for one in self.listed}
-            self.hash_orders[tables] = sorted(self.listed.values(), key=lambda one: rank[one.entry.engine])
-        return self.hash_orders[tables]
-
-    def update_engine_list(self, now: float, news: api.ListUpdate) -> None:
-        """Ids are ever new: a view outlasts its engine until what it knows has faded; a restart clears it."""
-        if news.kind in (api.ListKind.FULL, api.ListKind.RESTORED):
+        """Takes the number of gateways, at least 1.
+
+        What a rule limits is divided by the upper bound, everything else by the number of alive gateways.
+        Among few gateways, own threads tell more of an engine's load than its reports, which therefore
+        weigh less.
+        """
+        self.group_size.upper_bound = max(1, size.upper_bound)
+        self.group_size.alive = max(1, size.alive)
+        self.report_weight = max(0.0, 1.0 - 4.0 / self.group_size.alive)
+
+    def apply_peer_report(self, report: api.PeerReport) -> None:
+        """Replaces what peers reported before: which engines they see failing or draining, and until when."""
+        previously_reported = self.peer_reported
+        self.peer_reported = report.failing | report.draining
+        for view in [
+            self.engines[engine]
+            for engine in previously_reported | self.peer_reported
+            if engine in self.engines
+        ]:
+            view.suspected_until = report.valid_until if view.entry.engine in report.failing else -math.inf
+            view.drain_reported_until = (
+                report.valid_until if view.entry.engine in report.draining else -math.inf
+            )
+
+    def hash_order(self, table_group: int) -> list[EngineView]:
+        """The listed engines by rendezvous hash of table group and engine, kept until the list changes."""
+        if table_group not in self.hash_orders:
+            ranks = {
+                engine: blake2b(f"{table_group}:{engine}".encode(), digest_size=8).digest()
+                for engine in self.listed
+            }
+            self.hash_orders[table_group] = sorted(
+                self.listed.values(), key=lambda view: ranks[view.entry.engine]
+            )
+        return self.hash_orders[table_group]
+
+    def update_engine_list(self, now: float, update: api.ListUpdate) -> None:
+        """Applies an update of the engine list and recomputes what is derived from it.
+
+        Engine ids are never reused. The view of an engine that is gone is kept while attempts are in flight
+        on it and until its observations have decayed. A restart under the same id clears the observations.
+        """
+        if update.kind in (api.ListKind.FULL, api.ListKind.RESTORED):
             for view in self.engines.values():
                 view.entry = replace(view.entry, state=api.EngineState.GONE)
-        for entry in news.entries:
-            fresh = EngineView(entry, self.settings, now, self.random, self.group_size)
-            view = self.engines.setdefault(entry.engine, fresh)
+        for entry in update.entries:
+            new_view = EngineView(entry, self.settings, now, self.random, self.group_size)
+            view = self.engines.setdefault(entry.engine, new_view)
             if entry.started_at > view.entry.started_at:
-                view.failure_level, view.log_slowness, view.half_open, view.slowness_updated_at = (
-                    0.0,
-                    0.0,
-                    False,
-                    -math.inf,
-                )
+                view.failure_level = 0.0
+                view.log_slowness = 0.0
+                view.half_open = False
+                view.slowness_updated_at = -math.inf
                 view.suspected_until = -math.inf
             view.entry = entry
-        before, gone = self.listed, api.EngineState.GONE
-        self.listed = {name: view for name, view in self.engines.items() if view.entry.state is not gone}
-        self.hash_orders = self.hash_orders if before.keys() == self.listed.keys() else {}
+        previously_listed = self.listed
+        gone = api.EngineState.GONE
+        self.listed = {engine: view for engine, view in self.engines.items() if view.entry.state is not gone}
+        self.hash_orders = self.hash_orders if previously_listed.keys() == self.listed.keys() else {}
         kept = {
-            n: v
-            for n, v in self.engines.items()
-            if v.in_flight or now < v.failure_decayed_at + 10 * VIEW_HALF_LIFE_S
+            engine: view
+            for engine, view in self.engines.items()
+            if view.in_flight or now < view.failure_decayed_at + 10 * HEALTH_HALF_LIFE_S
         }
         self.engines = self.listed | kept
         self.total_cores = sum(
-            one.cores for one in self.listed.values() if one.entry.state is api.EngineState.UP
+            view.cores for view in self.listed.values() if view.entry.state is api.EngineState.UP
         )
         self.own_cores = sum(view.cores * view.capacity_share for view in self.listed.values())
         self.sorted_slowness = sorted(
@@ -343,183 +513,249 @@
         )
 
     def is_allowed(self, query: Query, engine: EngineView) -> bool:
-        """Rules 2, 3 and 6: placement, drains, and the group that drops a keyed query's repeats."""
-        kind, entry, ran = (query.query_class, engine.entry, [one for _, one in query.possible_runs])
-        kinds, zones, scope = kind.allowed_kinds, kind.allowed_zones, kind.dedup_scope
+        """Whether the rules permit the query on the engine at all (rules 2, 3 and 6).
+
+        The engine must be up, and of a kind and zone that the class allows. A keyed query that may have run
+        must stay within the zone or cell that drops its repeats.
+        """
+        query_class = query.query_class
+        entry = engine.entry
+        earlier_entries = [earlier for _, earlier in query.possible_runs]
+        kinds = query_class.allowed_kinds
+        zones = query_class.allowed_zones
+        scope = query_class.dedup_scope
         placed = (kinds is None or entry.kind in kinds) and (zones is None or entry.zone in zones)
-        if ran and kind.repeat_safety is api.RepeatSafety.KEYED and scope is not api.DedupScope.ALL:
-            zoned = scope is api.DedupScope.ZONE
-            placed &= all(entry.zone == one.zone if zoned else entry.cell == one.cell for one in ran)
+        if (
+            earlier_entries
+            and query_class.repeat_safety is api.RepeatSafety.KEYED
+            and scope is not api.DedupScope.ALL
+        ):
+            by_zone = scope is api.DedupScope.ZONE
+            placed &= all(
+                entry.zone == earlier.zone if by_zone else entry.cell == earlier.cell
+                for earlier in earlier_entries
+            )
         return placed and entry.state is api.EngineState.UP
 
-    def update_slowness(self, query: Query, engine: EngineView, elapsed: float, now: float) -> None:
-        """By price: cheap queries run past the crowd and show little of it. By age: an old view gives way."""
+    def update_slowness(self, query: Query, engine: EngineView, elapsed_s: float, now: float) -> None:
+        """Updates an engine's slowness, and the median over engines, by a successful run.
+
+        The run's weight grows with its price, since cheap queries overtake others on a loaded engine and show
+        little of the load, and with the age of the last observation.
+        """
         if self.calibration.best_log_ratio[query.arrival.class_index] == math.inf:
             return
         if engine.slowness_updated_at > -math.inf:
             del self.sorted_slowness[bisect_left(self.sorted_slowness, engine.log_slowness)]
-        ratio = min(3.0, query.price / max(self.calibration.mean_price.mean, 1e-9))
-        aged = 1.0 - 0.5 ** ((now - engine.slowness_updated_at) / VIEW_HALF_LIFE_S)
-        seen = math.log(max(elapsed, 1e-6) / max(query.expected_s, 1e-6))
-        engine.log_slowness += (seen - engine.log_slowness) * max(0.1 * ratio, min(1.0, ratio) * aged)
+        price_ratio = min(3.0, query.price / max(self.calibration.mean_price.mean, 1e-9))
+        staleness = 1.0 - 0.5 ** ((now - engine.slowness_updated_at) / HEALTH_HALF_LIFE_S)
+        observed = math.log(max(elapsed_s, 1e-6) / max(query.expected_s, 1e-6))
+        engine.log_slowness += (observed - engine.log_slowness) * max(
+            0.1 * price_ratio, min(1.0, price_ratio) * staleness
+        )
         engine.slowness_updated_at = now
         insort(self.sorted_slowness, engine.log_slowness)
         self.median_slowness = self.sorted_slowness[len(self.sorted_slowness) // 2]
 
     def effective_cores(self, engine: EngineView, now: float) -> float:
-        """Cores at the pace seen; only an engine well off the usual, or a cold one, counts less."""
-        behind = engine.log_slowness - self.median_slowness
-        cores = engine.cores * (math.exp(-behind) if behind > math.log(PRESSURE) / 2 else 1.0)
-        return cores * max(0.1, self.settings.rules.cold_initial_speed) if engine.is_cold(now) else cores
+        """An engine's cores, reduced if it is cold or clearly slower than the median engine.
 
-    def choose_engine(self, query: Query, now: float, needs_room: bool, may_fail: bool) -> EngineView | None:
-        """The least loaded home; the order is walked on only while homes are full or busy."""
+        Small differences in slowness do not count, so that noise does not move queries off their home
+        engines.
+        """
+        excess = engine.log_slowness - self.median_slowness
+        cores = engine.cores * (math.exp(-excess) if excess > math.log(PRESSURE_RATIO) / 2 else 1.0)
+        return cores * max(0.1, self.settings.rules.cold_initial_speed) if engine.is_cold(now) else cores
 
-        def load(engine: EngineView) -> float:
-            fresh: float = 0.5 ** ((now - engine.reported_at) / REPORT_HALF_LIFE_S)
-            theirs = (
-                (self.mean_others_per_core + (engine.others_per_core - self.mean_others_per_core) * fresh)
+    def choose_engine(
+        self, query: Query, now: float, enforce_bound: bool, may_use_failing: bool
+    ) -> EngineView | None:
+        """The engine for a query, or None if it has to be held.
+
+        It is the least loaded home engine with room. The rest of the hash order is searched only if the
+        homes have no room or are busier than the mean. With ``may_use_failing`` a quarantined engine that
+        still answers is the last resort.
+        """
+
+        def load_with_query(engine: EngineView) -> float:
+            """Threads per effective core with the query added, of this gateway and as reported of others."""
+            freshness: float = 0.5 ** ((now - engine.reported_at) / REPORT_HALF_LIFE_S)
+            others_threads = (
+                (self.mean_others_per_core + (engine.others_per_core - self.mean_others_per_core) * freshness)
                 * engine.cores
                 * self.report_weight
             )
-            weight = self.effective_cores(engine, now)
-            return (engine.threads_in_flight + theirs) / weight + one * (engine.cores / weight)
+            cores = self.effective_cores(engine, now)
+            return (engine.threads_in_flight + others_threads) / cores + query_load * (engine.cores / cores)
 
-        # A jam feeds itself: with many gateways even one query from each on each engine is too much.
-        most = (
-            STRAIN_BOUND
-            * BOUND_THREADS
+        # Congestion sustains itself: with many gateways even one query from each on each engine is too much.
+        max_threads = (
+            CONGESTED_BOUND
+            * MAX_THREADS_PER_CORE
             * self.total_cores
             / self.group_size.alive
             / max(self.report_weight, 1e-9)
         )
-        if self.unanswered_share > STRAINED and self.threads_in_flight >= max(1.0, most):
+        if self.unanswered_share > CONGESTED_SHARE and self.threads_in_flight >= max(1.0, max_threads):
             return None
-        mean = (
+        mean_load = (
             self.threads_in_flight / max(self.total_cores, 1e-9)
             + self.mean_others_per_core * self.report_weight
         )
-        one = query.query_class.threads * len(self.listed) / max(self.total_cores, 1e-9)  # this query, a core
-        shunned, passed = EngineViews(), EngineViews()
-        walk = self.usable_engines(query, now, shunned, passed)
-        homes = list(islice(walk, HOMES))
-        # Homes are alike at all gateways: quiet ones, for which all look idle, would pile on the first.
-        turn = self.settings.gateway_index % max(1, len(homes))
-        homes = homes[turn:] + homes[:turn]
-        # Never shun so many that nothing is left: with every engine under suspicion all are used again.
-        free = [one for one in homes or passed or shunned if one.has_room(now, needs_room)]
-        best = min(free, key=load, default=None)
-        # "Busier than the mean" by more than one query: below that a quiet gateway would lose its homes.
-        if best is None or load(best) - 2 * one > mean:
-            further = [] if best is None else [best]
-            for engine in walk:
-                if engine.has_room(now, needs_room):
-                    if load(engine) < mean:
+        # Threads per core that the query adds to an engine of mean size.
+        query_load = query.query_class.threads * len(self.listed) / max(self.total_cores, 1e-9)
+        quarantined = EngineViews()
+        set_aside = EngineViews()
+        candidates = self.usable_engines(query, now, quarantined, set_aside)
+        homes = list(islice(candidates, HOME_ENGINES))
+        # All gateways have the same homes. Gateways with little traffic see them all idle, and without a
+        # rotation by gateway all would choose the first.
+        rotation = self.settings.gateway_index % max(1, len(homes))
+        homes = homes[rotation:] + homes[:rotation]
+        # Quarantine never leaves a query without engines: if no others remain, those set aside are used, and
+        # then the quarantined ones.
+        free_homes = [
+            engine for engine in homes or set_aside or quarantined if engine.has_room(now, enforce_bound)
+        ]
+        best = min(free_homes, key=load_with_query, default=None)
+        # A home may exceed the mean by the query itself: else a gateway with little traffic leaves its homes.
+        if best is None or load_with_query(best) - 2 * query_load > mean_load:
+            fallbacks = [] if best is None else [best]
+            for engine in candidates:
+                if engine.has_room(now, enforce_bound):
+                    if load_with_query(engine) < mean_load:
                         return engine
-                    further += [] if free else [engine]
-            best = min(further, key=load, default=None)
-        if best is None and may_fail:
-            # What a failing engine still answers beats a wait; its errors come back fast.
-            part = (one for one in shunned if not one.last_attempt_unanswered and one.has_room(now, True))
-            best = min(part, key=lambda one: one.failure_level, default=None)
+                    fallbacks += [] if free_homes else [engine]
+            best = min(fallbacks, key=load_with_query, default=None)
+        if best is None and may_use_failing:
+            # An answer that a failing engine still gives is better than waiting, and its errors return fast.
+            answering = (
+                engine
+                for engine in quarantined
+                if not engine.last_attempt_unanswered and engine.has_room(now, True)
+            )
+            best = min(answering, key=lambda engine: engine.failure_level, default=None)
         return best
 
     def usable_engines(
-        self, query: Query, now: float, shunned: EngineViews, passed: EngineViews
+        self, query: Query, now: float, quarantined: EngineViews, set_aside: EngineViews
     ) -> Iterator[EngineView]:
-        """The usable engines in the group's order; the others that are allowed are set aside on the way."""
-        work = max(query.estimated_cost_s, self.calibration.expected_s(query) * query.query_class.threads)
+        """Yields the engines that can be used for a query, in the hash order of its table group.
+
+        Allowed engines that are passed over on the way are appended to ``quarantined``, or to ``set_aside``
+        where the query was tried before or a data load of its table group runs.
+        """
+        work_s = max(query.estimated_cost_s, self.calibration.expected_s(query) * query.query_class.threads)
         kept_apart = query.query_class.is_data_load or query.query_class.waits_for_data_loads
-        # Readers stand still where a load holds their group: loads start from the order's far end.
-        far = query.query_class.is_data_load and any(
-            kind.waits_for_data_loads for kind in self.settings.classes
+        # Readers that wait for data loads are blocked where one runs, so loads search from the far end.
+        reverse = query.query_class.is_data_load and any(
+            query_class.waits_for_data_loads for query_class in self.settings.classes
         )
-        for engine in self.hash_order(query.arrival.table_group)[:: -1 if far else 1]:
+        for engine in self.hash_order(query.arrival.table_group)[:: -1 if reverse else 1]:
             if (
                 now < engine.drain_reported_until
                 or not self.is_allowed(query, engine)
-                or not engine.cold_budget_allows(now, work)
+                or not engine.cold_budget_allows(now, work_s)
             ):
                 continue
             if engine.is_quarantined(now):
-                shunned.append(engine)
+                quarantined.append(engine)
             elif engine.entry.engine in query.tried_engines or (
                 kept_apart and engine.has_data_load_on(query.arrival.table_group)
             ):
-                passed.append(engine)
+                set_aside.append(engine)
             else:
                 yield engine
 
 
 class KeySerializer:
-    """Rule 5: of the queries with one key only the first taken may be out; a doubtful end rests the key."""
+    """Runs queries with the same ordering key one at a time, in their order of arrival (rule 5).
+
+    After an attempt whose outcome leaves open whether it still runs, the key rests before its next query
+    starts.
+    """
 
     def __init__(self) -> None:
-        self.queues, self.rest_until = dict[int | None, deque[Query]](), dict[int | None, float]()
+        self.queues = dict[int | None, deque[Query]]()
+        self.rest_until = dict[int | None, float]()
 
     def may_run(self, query: Query, now: float) -> bool:
-        line = self.queues.get(query.ordering_key)
+        """Whether the query is the first of its key and the key does not rest; retries need no rest."""
+        queue = self.queues.get(query.ordering_key)
         rested = query.attempt_count > 0 or now >= self.rest_until.get(query.ordering_key, now)
-        return line is None or (line[0] is query and rested)
+        return queue is None or (queue[0] is query and rested)
 
     def remove(self, query: Query) -> Query | None:
-        """For a query that is over and has no attempt out; answers with the one that is first now."""
-        line = self.queues.get(query.ordering_key, deque([query]))
-        line.remove(query)
-        if not line:
+        """Removes a finished query without an attempt in flight; returns the new first query of its key."""
+        queue = self.queues.get(query.ordering_key, deque([query]))
+        queue.remove(query)
+        if not queue:
             self.queues.pop(query.ordering_key, None)
-        return line[0] if line else None
+        return queue[0] if queue else None
 
 
 class FairQueue:
-    """Held queries in lines, in each the most worth for its price first."""
+    """Held queries in one priority queue per ``QueueKey``, ordered by worth per price.
+
+    ``Controller.release_held`` shares released capacity fairly between the heads of these queues.
+    """
 
     def __init__(self) -> None:
-        self.queues, self.sequence = dict[QueueKey, list[tuple[float, int, Query]]](), count()
+        self.queues = dict[QueueKey, list[tuple[float, int, Query]]]()
+        self.sequence = count()
 
     def add(self, query: Query, late: bool) -> None:
+        """Adds a query; ``late`` means past its soft deadline, which leaves only part of its worth."""
         worth = query.query_class.worth * (query.query_class.late_worth_share if late else 1.0)
-        line_id = (late, query.arrival.tenant_index, query.arrival.class_index, query.attempt_count > 0)
-        line = self.queues.setdefault(line_id, [])
-        if len(line) % 64 == 63:  # those given up meanwhile may lie too deep ever to be met
-            line[:] = sorted(one for one in line if one[2].is_waiting())
-        heappush(line, (-worth / max(query.price, 1e-9), next(self.sequence), query))
-
-    def head(self, line_id: QueueKey, now: float) -> Query | None:
-        """The first of a line that still waits; one that can no longer be in time moves to the late line."""
-        while line := self.queues[line_id]:
-            query = line[0][2]
-            if query.is_waiting() and (line_id[0] or now + query.expected_s <= query.soft_deadline):
+        queue_key = (late, query.arrival.tenant_index, query.arrival.class_index, query.attempt_count > 0)
+        queue = self.queues.setdefault(queue_key, [])
+        # Queries given up meanwhile may lie too deep in the heap to reach its head, so it is swept regularly.
+        if len(queue) % 64 == 63:
+            queue[:] = sorted(held for held in queue if held[2].is_waiting())
+        heappush(queue, (-worth / max(query.price, 1e-9), next(self.sequence), query))
+
+    def head(self, queue_key: QueueKey, now: float) -> Query | None:
+        """The first query of a queue that still waits.
+
+        Queries that can no longer meet their soft deadline move to the late queue on the way.
+        """
+        while queue := self.queues[queue_key]:
+            query = queue[0][2]
+            if query.is_waiting() and (queue_key[0] or now + query.expected_s <= query.soft_deadline):
                 return query
-            heappop(line)
+            heappop(queue)
             if query.is_waiting():
                 self.add(query, True)
         return None
 
 
 class Controller:
+    """One gateway's decisions: admission, routing, further attempts and final answers of its queries."""
+
     def __init__(self, settings: api.Settings, seed: int) -> None:
-        self.settings, self.random = settings, Random(seed)
+        self.settings = settings
+        self.random = Random(seed)
         self.calibration = Calibration(settings.classes)
         self.router = Router(settings, self.calibration, self.random)
-        self.held_queries, self.key_order, self.retry_budget = (
-            FairQueue(),
-            KeySerializer(),
-            RetryBudget(settings.rules),
-        )
-        self.queries, self.token_buckets = dict[int, Query](), dict[int, TokenBucket]()
-        self.wait_heap: list[tuple[float, int, Query]] = []
-        self.class_yields, self.total_yield = [OpenQueryYield() for _ in settings.classes], OpenQueryYield()
-        self.actions, self.blocked_queues = (
-            list[api.Action](),
-            set[QueueKey](),
-        )  # blocked: lines that found no room
-        self.now, self.last_tick_at, self.timer_due_at = 0.0, -1.0, math.inf
+        self.held_queries = FairQueue()
+        self.key_order = KeySerializer()
+        self.retry_budget = RetryBudget(settings.rules)
+        self.queries = dict[int, Query]()
+        self.token_buckets = dict[int, TokenBucket]()
+        self.wait_heap: list[tuple[float, int, Query]] = []  # held queries by the time that their wait ends
+        self.class_yields = [OpenQueryYield() for _ in settings.classes]
+        self.total_yield = OpenQueryYield()  # over all classes
+        self.actions = list[api.Action]()
+        self.blocked_queues = set[QueueKey]()  # queues whose head found no engine since the last change
+        self.now = 0.0
+        self.last_tick_at = -1.0
+        self.timer_due_at = math.inf
 
     def handle(self, now: float, events: Sequence[api.Event]) -> list[api.Action]:
-        """Take the events of one moment, in turn, and answer with the actions of that moment."""
-        self.now, self.actions = now, []
-        if unwatched := self.last_tick_at < 0:
+        """Processes the events of one moment in order and returns the actions that follow from them."""
+        self.now = now
+        self.actions = []
+        if needs_watch := self.last_tick_at < 0:
             self.tick()
         for event in events:
             match event:
@@ -530,6 +766,7 @@
                 case api.AttemptStatus():
                     self.on_attempt_status(event)
                 case api.TimerFired():
+                    # A timer that fires up to half a tick early, by rounding, is the one that was due.
                     self.timer_due_at = (
                         math.inf if now > self.timer_due_at - TICK_S / 2 else self.timer_due_at
                     )
@@ -537,7 +774,7 @@
                 case api.ListUpdate():
                     self.router.update_engine_list(now, event)
                     self.blocked_queues.clear()
-                    unwatched = unwatched or event.kind is api.ListKind.UNAVAILABLE
+                    needs_watch = needs_watch or event.kind is api.ListKind.UNAVAILABLE
                 case api.PeerReport():
                     self.router.apply_peer_report(event)
                     self.blocked_queues.clear()
@@ -553,244 +790,309 @@
                     if query.engine is None:
                         self.finish(query)
                     elif self.settings.limits.cancel_allowed and not query.cancel_requested:
-                        query.cancel_requested = True  # nobody waits for this work any more
+                        query.cancel_requested = True  # no client waits for the attempt's result
                         self.actions.append(api.Cancel(event.query, query.attempt_count - 1))
-        if unwatched and not self.settings.list_is_pushed:
+        if needs_watch and not self.settings.list_is_pushed:
             self.actions.append(api.WatchList())
         self.release_held()
         self.expire_waits()
-        soon = (
-            self.wait_heap or self.key_order.rest_until
-        )  # timers by what is due: an idle gateway needs none
-        due = now + (TICK_S if soon else WATCH_S if self.router.active_engines else math.inf)
-        if due < self.timer_due_at - TICK_S / 2:
-            self.timer_due_at = due
-            self.actions.append(api.SetTimer(1, due - now))
+        # One timer at a time, and none while nothing is due: an idle gateway needs no periodic checks.
+        tick_soon = self.wait_heap or self.key_order.rest_until
+        due_at = now + (TICK_S if tick_soon else WATCH_S if self.router.active_engines else math.inf)
+        if due_at < self.timer_due_at - TICK_S / 2:
+            self.timer_due_at = due_at
+            self.actions.append(api.SetTimer(1, due_at - now))
         return self.actions
 
     def on_query_arrived(self, event: api.QueryArrived) -> None:
-        kind = self.settings.classes[event.class_index]
+        """Prices a new query and holds it for release, or gives it up where too many queries are open."""
+        query_class = self.settings.classes[event.class_index]
         self.retry_budget.arrivals.append(self.now)
-        cost = (
+        cost_s = (
             event.estimated_cost_s
             or self.calibration.class_cost_s[event.class_index].mean
-            or kind.soft_deadline_s
+            or query_class.soft_deadline_s
         )
-        query = Query(event, kind, event.ordering_key if kind.ordered_by_key else None, cost)
+        query = Query(event, query_class, event.ordering_key if query_class.ordered_by_key else None, cost_s)
         query.price = self.calibration.price(query)
         self.calibration.mean_price.add(query.price)
-        self.calibration.mean_worth.add(kind.worth)
+        self.calibration.mean_worth.add(query_class.worth)
         query.expected_s = self.calibration.expected_s(query)
-        query.soft_deadline = self.now + kind.soft_deadline_s + kind.soft_deadline_stretch * query.expected_s
+        query.soft_deadline = (
+            self.now + query_class.soft_deadline_s + query_class.soft_deadline_stretch * query.expected_s
+        )
         self.queries[query.arrival.query] = query
         if query.ordering_key is not None:
             self.key_order.queues.setdefault(query.ordering_key, deque()).append(query)
-        # Where places run out, what comes is turned away unseen: who earns little with them leaves some free.
-        earned, usual = (
-            one.update(self.now, 1) for one in (self.class_yields[event.class_index], self.total_yield)
+        # At the limit of open queries all are turned away alike. A class that earns less than the mean per
+        # open second may therefore fill only part of the limit, and leaves the rest to the others.
+        class_yield, mean_yield = (
+            open_yield.update(self.now, 1)
+            for open_yield in (self.class_yields[event.class_index], self.total_yield)
         )
-        most = self.settings.limits.max_open_queries * (
-            PLACES + (1 - PLACES) * min(1.0, earned / max(usual, 1e-9))
+        max_open = self.settings.limits.max_open_queries * (
+            UNEARNED_OPEN_SHARE + (1 - UNEARNED_OPEN_SHARE) * min(1.0, class_yield / max(mean_yield, 1e-9))
         )
-        full = 0 < most < len(self.queries)
-        self.give_up(query, api.GiveUpReason.NO_OPEN_SLOT) if full else self.hold(query)
+        over_limit = 0 < max_open < len(self.queries)
+        self.give_up(query, api.GiveUpReason.NO_OPEN_SLOT) if over_limit else self.hold(query)
 
     def hold(self, query: Query) -> None:
-        """Hold a query until its deadline less its class's usual time; each time anew, or it is lost."""
-        doubt = math.exp(-2 * self.calibration.log_ratio_spread[query.arrival.class_index].mean)
-        if self.now + query.expected_s * doubt > query.arrival.deadline:
-            return self.give_up(
-                query, api.GiveUpReason.DEADLINE_UNREACHABLE
-            )  # out of reach even if told too high: it would stand in the way
-        usual = max(self.calibration.typical_elapsed_s[query.arrival.class_index], 2 * TICK_S)
-        heappush(self.wait_heap, (query.arrival.deadline - usual, next(self.held_queries.sequence), query))
+        """Holds a query until its deadline less the class's typical duration, or gives it up.
+
+        Each call enters the wait anew: a query that is held again after its first wait has ended would
+        otherwise never be answered.
+        """
+        # Given up at once if it can't end in time even with an estimate far too high: it would delay others.
+        estimate_margin = math.exp(-2 * self.calibration.log_ratio_spread[query.arrival.class_index].mean)
+        if self.now + query.expected_s * estimate_margin > query.arrival.deadline:
+            return self.give_up(query, api.GiveUpReason.DEADLINE_UNREACHABLE)
+        typical_s = max(self.calibration.typical_elapsed_s[query.arrival.class_index], 2 * TICK_S)
+        heappush(
+            self.wait_heap, (query.arrival.deadline - typical_s, next(self.held_queries.sequence), query)
+        )
         if self.key_order.may_run(query, self.now):
             self.held_queries.add(query, self.now > query.soft_deadline)
 
     def on_attempt_ended(self, event: api.AttemptEnded) -> None:
+        """Updates the engine, and finishes, holds again or gives up the query.
+
+        Events of attempts other than the query's current one are ignored.
+        """
         query = self.queries.get(event.query)
         if query is None or query.engine is None or query.attempt_count != event.attempt + 1:
             return
         self.blocked_queues.clear()
-        engine, query.engine = self.router.engines[query.engine], None
+        engine = self.router.engines[query.engine]
+        query.engine = None
         del engine.in_flight[query.arrival.query]
         engine.threads_in_flight -= query.query_class.threads
         self.router.threads_in_flight -= query.query_class.threads
         if not engine.in_flight:
             del self.router.active_engines[engine.entry.engine]
-            engine.is_silent, engine.log_slowness_in_flight = False, 0.0
+            engine.is_silent = False
+            engine.log_slowness_in_flight = 0.0
         self.update_engine_health(query, engine, event)
         if event.outcome in (api.Outcome.TIMEOUT, api.Outcome.RESET, api.Outcome.CANCELLED):
             self.key_order.rest_until[query.ordering_key] = self.now + self.settings.rules.order_settle_s
         if event.outcome not in (api.Outcome.FULL, api.Outcome.CONNECT_FAILED, api.Outcome.NOT_STARTED):
             query.possible_runs.append((query.sent_at, engine.entry))
         if event.query_settled or event.outcome is api.Outcome.OK or query.finished:
-            on_time = 1.0 if self.now <= query.soft_deadline else query.query_class.late_worth_share
-            self.finish(query, query.query_class.worth * on_time if event.outcome is api.Outcome.OK else 0.0)
+            worth_share = 1.0 if self.now <= query.soft_deadline else query.query_class.late_worth_share
+            self.finish(
+                query, query.query_class.worth * worth_share if event.outcome is api.Outcome.OK else 0.0
+            )
         else:
             self.hold(query) if self.may_retry(query) else self.give_up(
                 query, api.GiveUpReason.ATTEMPTS_EXHAUSTED
             )
 
     def update_engine_health(self, query: Query, engine: EngineView, event: api.AttemptEnded) -> None:
-        outcome, report = event.outcome, event.report or api.LoadReport()
+        """Updates an engine's load, slowness, failure level and backoff by the outcome of an attempt."""
+        outcome = event.outcome
+        report = event.report or api.LoadReport()
         busy = (
-            max(report.busy_share or 0.0, report.memory_granted_share or 0.0) > BUSY
+            max(report.busy_share or 0.0, report.memory_granted_share or 0.0) > BUSY_SHARE
             or outcome is api.Outcome.FULL
         )
         if busy or event.report is not None:
-            engine.busy_until = self.now + (BUSY_FRESH_S if busy else 0.0)
+            engine.busy_until = self.now + (BUSY_VALID_S if busy else 0.0)
         if report.in_flight is not None:
-            engine.others_per_core, engine.reported_at = (
-                (report.in_flight - len(engine.in_flight)) / engine.cores,
-                self.now,
-            )
+            engine.others_per_core = (report.in_flight - len(engine.in_flight)) / engine.cores
+            engine.reported_at = self.now
             self.router.mean_others_per_core += (
                 engine.others_per_core - self.router.mean_others_per_core
-            ) / LEARN_RUNS
+            ) / MEAN_WINDOW_RUNS
         if outcome in (api.Outcome.OK, api.Outcome.ERROR, api.Outcome.FULL):
             engine.last_response_at = self.now
         if outcome is api.Outcome.OK:
-            engine.failure_level, engine.half_open, engine.full_backoff_s = (
-                engine.failure_level * (1 - FAIL_WEIGHT),
-                False,
-                PAUSE_S,
-            )
+            engine.failure_level = engine.failure_level * (1 - FAILURE_WEIGHT)
+            engine.half_open = False
+            engine.full_backoff_s = MIN_FULL_BACKOFF_S
             engine.last_ok_at = self.now
             self.router.update_slowness(query, engine, event.elapsed_s, self.now)
             self.calibration.learn(
                 query, event.elapsed_s, math.exp(engine.log_slowness - self.router.median_slowness)
             )
-        unheard = outcome is api.Outcome.TIMEOUT and engine.last_response_at <= query.sent_at
+        # A timeout shows a lost engine only if it answered nothing since the attempt was sent; else it is
+        # slow.
+        lost_by_timeout = outcome is api.Outcome.TIMEOUT and engine.last_response_at <= query.sent_at
         if (
             outcome is api.Outcome.OK
             or query.cancel_requested
-            or (outcome is api.Outcome.TIMEOUT and not unheard)
+            or (outcome is api.Outcome.TIMEOUT and not lost_by_timeout)
         ):
             self.router.unanswered_share += (
-                ((outcome is not api.Outcome.OK) - self.router.unanswered_share) * FAIL_WEIGHT / 2
+                ((outcome is not api.Outcome.OK) - self.router.unanswered_share) * FAILURE_WEIGHT / 2
             )
-        engine.last_attempt_unanswered = outcome in (api.Outcome.CONNECT_FAILED, api.Outcome.RESET) or unheard
-        error = outcome is api.Outcome.ERROR and not query.possible_runs  # what fails everywhere is the query
-        weight = CUT_WEIGHT if engine.last_attempt_unanswered else FAIL_WEIGHT if error else 0.0
+        engine.last_attempt_unanswered = (
+            outcome in (api.Outcome.CONNECT_FAILED, api.Outcome.RESET) or lost_by_timeout
+        )
+        # Only a query's first run counts: a query that fails on every engine is itself at fault.
+        counted_error = outcome is api.Outcome.ERROR and not query.possible_runs
+        weight = LOST_WEIGHT if engine.last_attempt_unanswered else FAILURE_WEIGHT if counted_error else 0.0
         engine.failure_level += (1 - engine.failure_level) * weight
         if outcome is api.Outcome.FULL and self.now >= engine.backoff_until:
-            # One query from each of many gateways keeps it full: left alone ever longer, until it answers.
-            engine.full_backoff_s = min(PAUSE_MOST_S, 2 * engine.full_backoff_s)
+            # Single queries of many gateways can keep an engine full, so the backoff doubles until it
+            # answers.
+            engine.full_backoff_s = min(MAX_FULL_BACKOFF_S, 2 * engine.full_backoff_s)
             engine.backoff_until = self.now + engine.full_backoff_s * (0.5 + self.random.random())
 
     def on_attempt_status(self, event: api.AttemptStatus) -> None:
+        """Processes a status message; restarts an attempt that is projected to take far too long."""
         query = self.queries.get(event.query)
         if query is None or query.engine is None or query.attempt_count != event.attempt + 1:
             return
-        engine, elapsed = self.router.engines[query.engine], self.now - query.sent_at
+        engine = self.router.engines[query.engine]
+        elapsed_s = self.now - query.sent_at
         if event.kind is api.AttemptStatusKind.ALIVE:
             query.confirmed_at = self.now
             return
         engine.last_response_at = self.now
-        to_go = elapsed / max(event.value, 1e-3) - elapsed
-        out_of_reach = to_go > RUNAWAY * query.expected_s * math.exp(max(0.0, engine.log_slowness))
-        if event.kind is api.AttemptStatusKind.PROGRESS and out_of_reach and not query.finished:
+        remaining_s = elapsed_s / max(event.value, 1e-3) - elapsed_s
+        runaway = remaining_s > RUNAWAY_MULTIPLE * query.expected_s * math.exp(max(0.0, engine.log_slowness))
+        if event.kind is api.AttemptStatusKind.PROGRESS and runaway and not query.finished:
             self.restart_attempt(query)
 
     def restart_attempt(self, query: Query) -> None:
-        """Call an attempt off whose end is out of reach; its outcome then leads to another attempt."""
-        able = (
+        """Cancels the attempt in flight if another is allowed, which its CANCELLED outcome then starts."""
+        allowed = (
             self.settings.limits.cancel_allowed
             and not query.cancel_requested
             and self.retry_budget.allows(self.now)
         )
-        if able and self.may_retry(query, ran=True):
+        if allowed and self.may_retry(query, in_flight_may_run=True):
             query.cancel_requested = True
             self.actions.append(api.Cancel(query.arrival.query, query.attempt_count - 1))
 
     def finish(self, query: Query, worth: float = 0.0) -> None:
-        """Nothing is owed and nothing is out: forget the query, and let the next of its key go."""
+        """Forgets an answered query without an attempt in flight, and holds the next one of its key."""
         query.finished = True
-        for places in (self.class_yields[query.arrival.class_index], self.total_yield):
-            places.update(self.now, -1, worth)
+        for open_yield in (self.class_yields[query.arrival.class_index], self.total_yield):
+            open_yield.update(self.now, -1, worth)
         self.queries.pop(query.arrival.query, None)
         if (following := self.key_order.remove(query)) is not None and following.is_waiting():
             self.hold(following)
 
-    def may_retry(self, query: Query, ran: bool = False) -> bool:
-        """Rule 2, and whether there is time left for another attempt; ``ran`` if the one out may have run."""
-        if query.query_class.repeat_safety is not api.RepeatSafety.SAFE and (ran or query.possible_runs):
-            first = query.possible_runs[0][0] if query.possible_runs else query.sent_at
-            dropped_until = first + query.query_class.dedup_window_s - 2 * TICK_S
-            if query.query_class.repeat_safety is api.RepeatSafety.UNSAFE or self.now >= dropped_until:
+    def may_retry(self, query: Query, in_flight_may_run: bool = False) -> bool:
+        """Whether rule 2, the attempt limits and the time left permit another attempt.
+
+        ``in_flight_may_run`` counts the attempt in flight as one that may have run. Repeats stop two ticks
+        before the deduplication window ends, so that none arrives after it.
+        """
+        if query.query_class.repeat_safety is not api.RepeatSafety.SAFE and (
+            in_flight_may_run or query.possible_runs
+        ):
+            first_sent_at = query.possible_runs[0][0] if query.possible_runs else query.sent_at
+            deduplicated_until = first_sent_at + query.query_class.dedup_window_s - 2 * TICK_S
+            if query.query_class.repeat_safety is api.RepeatSafety.UNSAFE or self.now >= deduplicated_until:
                 return False
-        able = (
+        attempts_left = (
             len(query.possible_runs) < MAX_FRUITLESS_RUNS
             and query.attempt_count < self.settings.limits.max_attempts
         )
-        return able and self.now + query.expected_s < query.arrival.deadline
+        return attempts_left and self.now + query.expected_s < query.arrival.deadline
 
-    def give_up(self, query: Query, why: api.GiveUpReason) -> None:
-        """The final answer, at once: refused where the client may safely try again, else failed."""
-        kind, limits, account = query.query_class, self.settings.limits, self.token_bucket(query)
+    def give_up(self, query: Query, reason: api.GiveUpReason) -> None:
+        """Gives the final answer at once: refused where the client may safely retry, else failed.
+
+        The retry hint is the time until the tenant's debt is paid, at least the class's typical duration,
+        with jitter so that refused clients do not return together.
+        """
+        query_class = query.query_class
+        limits = self.settings.limits
+        bucket = self.token_bucket(query)
         dropped_by_all = (
-            kind.repeat_safety is api.RepeatSafety.KEYED and kind.dedup_scope is api.DedupScope.ALL
+            query_class.repeat_safety is api.RepeatSafety.KEYED
+            and query_class.dedup_scope is api.DedupScope.ALL
         )
-        wait = max(
-            -account.level / max(account.rate, 1e-9),
+        wait_s = max(
+            -bucket.level / max(bucket.rate, 1e-9),
             self.calibration.typical_elapsed_s[query.arrival.class_index],
         )
-        wait *= 1 + HINT_JITTER * self.random.random()  # when the debt is paid; the refused come back apart
-        hint = min(limits.max_retry_after_s, wait) if limits.retry_hints_allowed else 0.0
-        harmless = kind.repeat_safety is api.RepeatSafety.SAFE or dropped_by_all or not query.possible_runs
-        asked = query.arrival.query
-        self.actions.append(api.Refuse(asked, hint, why) if harmless else api.Fail(asked, why))
+        wait_s *= 1 + RETRY_HINT_JITTER * self.random.random()
+        retry_after_s = min(limits.max_retry_after_s, wait_s) if limits.retry_hints_allowed else 0.0
+        safe_to_repeat = (
+            query_class.repeat_safety is api.RepeatSafety.SAFE or dropped_by_all or not query.possible_runs
+        )
+        query_id = query.arrival.query
+        self.actions.append(
+            api.Refuse(query_id, retry_after_s, reason) if safe_to_repeat else api.Fail(query_id, reason)
+        )
         self.finish(query)
 
     def token_bucket(self, query: Query) -> TokenBucket:
-        """The tenant's account, or the class's where there are no tenants, at its share of our cores."""
+        """The refilled bucket of the query's tenant, or of its class where there are no tenants.
+
+        Its rate is the tenant's share of the cores that this gateway may use; classes have even shares.
+        """
         tenants = self.settings.tenants
         owner = query.arrival.tenant_index if tenants else query.arrival.class_index
         share = tenants[owner].share if owner < len(tenants) else 1.0 / len(self.settings.classes)
-        account = self.token_buckets.setdefault(owner, TokenBucket(share))
-        account.refill(self.now, account.share * self.router.own_cores)
-        return account
+        bucket = self.token_buckets.setdefault(owner, TokenBucket(share))
+        bucket.refill(self.now, bucket.share * self.router.own_cores)
+        return bucket
 
     def release_held(self) -> None:
-        """Release held queries while engines have room: in time before late, out of debt before owing."""
+        """Releases held queries while engines have room for them.
+
+        Among the heads of all queues the order is: queries in time before late ones, tenants out of debt
+        before those in debt, then by recent use per share (fair queueing), then by worth per price. A queue
+        whose head finds no engine is blocked until something changes.
+        """
         while True:
             heads: list[tuple[bool, bool, float, float, QueueKey, Query]] = []
-            for line_id in list(self.held_queries.queues):
-                query = None if line_id in self.blocked_queues else self.held_queries.head(line_id, self.now)
+            for queue_key in list(self.held_queries.queues):
+                query = (
+                    None if queue_key in self.blocked_queues else self.held_queries.head(queue_key, self.now)
+                )
                 if query is not None:
-                    account = self.token_bucket(query)
-                    owing = account.level < 0 and not query.charged
-                    merit = self.held_queries.queues[line_id][0][0]
+                    bucket = self.token_bucket(query)
+                    in_debt = bucket.level < 0 and not query.charged
+                    negative_worth_per_price = self.held_queries.queues[queue_key][0][0]
                     heads.append(
-                        (line_id[0], owing, account.recent_use / account.share, merit, line_id, query)
+                        (
+                            queue_key[0],
+                            in_debt,
+                            bucket.recent_use / bucket.share,
+                            negative_worth_per_price,
+                            queue_key,
+                            query,
+                        )
                     )
             if not heads:
                 return
-            late, owing, _, _, line_id, query = min(heads, key=lambda one: one[:5])
+            late, in_debt, _, _, queue_key, query = min(heads, key=lambda head: head[:5])
             if query.attempt_count > 0 and not self.may_retry(query):
                 self.give_up(query, api.GiveUpReason.ATTEMPTS_EXHAUSTED)
                 continue
-            allows = self.retry_budget.allows(self.now)
-            may_fail = allows and query.query_class.repeat_safety is api.RepeatSafety.SAFE
-            stopped = query.attempt_count > 0 and not allows
-            engine = None if stopped else self.router.choose_engine(query, self.now, owing or late, may_fail)
+            retry_allowed = self.retry_budget.allows(self.now)
+            may_use_failing = retry_allowed and query.query_class.repeat_safety is api.RepeatSafety.SAFE
+            over_budget = query.attempt_count > 0 and not retry_allowed
+            engine = (
+                None
+                if over_budget
+                else self.router.choose_engine(query, self.now, in_debt or late, may_use_failing)
+            )
             if engine is None:
-                self.blocked_queues.add(line_id)
+                self.blocked_queues.add(queue_key)
             else:
-                heappop(self.held_queries.queues[line_id])
+                heappop(self.held_queries.queues[queue_key])
                 self.send(query, engine)
 
     def send(self, query: Query, engine: EngineView) -> None:
-        """Every attempt leaves through here."""
+        """Sends an attempt, the only place that does, and charges the query's price at its first attempt."""
         if query.attempt_count:
             self.retry_budget.further_attempts.append(self.now)
         if not query.charged:
             query.charged = True
-            account = self.token_bucket(query)
-            account.level, account.recent_use = account.level - query.price, account.recent_use + query.price
-        query.engine, query.sent_at, query.cancel_requested = engine.entry.engine, self.now, False
-        query.attempt_count, query.expected_s = query.attempt_count + 1, self.calibration.expected_s(query)
+            bucket = self.token_bucket(query)
+            bucket.level = bucket.level - query.price
+            bucket.recent_use = bucket.recent_use + query.price
+        query.engine = engine.entry.engine
+        query.sent_at = self.now
+        query.cancel_requested = False
+        query.attempt_count = query.attempt_count + 1
+        query.expected_s = self.calibration.expected_s(query)
         query.duration_known = self.calibration.duration_known(query)
         query.tried_engines.add(engine.entry.engine)
         engine.last_response_at = engine.last_response_at if engine.in_flight else self.now
@@ -800,18 +1102,21 @@
         self.router.threads_in_flight += query.query_class.threads
         engine.cold_work_sent += max(query.estimated_cost_s, query.expected_s * query.query_class.threads)
         if self.settings.priorities_honored or self.settings.memory_grants_honored:
-            grant = GRANT * (query.arrival.estimated_memory_mb or 0.0)
-            self.actions.append(api.SetTerms(query.arrival.query, grant, self.priority(query)))
+            grant_mb = MEMORY_GRANT_FACTOR * (query.arrival.estimated_memory_mb or 0.0)
+            self.actions.append(api.SetTerms(query.arrival.query, grant_mb, self.priority(query)))
         self.actions.append(api.Send(query.arrival.query, engine.entry.engine, query.arrival.deadline))
 
     def priority(self, query: Query) -> int:
-        usual = self.calibration.mean_worth.mean / max(self.calibration.mean_price.mean, 1e-9)
-        ratio = query.query_class.worth / max(query.price, 1e-9) / max(usual, 1e-9)
-        return 3 if ratio > 2 else 2 if ratio > 0.5 else 1 if ratio > 0.125 else 0
+        """The engine priority of a query, 0 to 3, by its worth per price relative to the mean."""
+        mean_ratio = self.calibration.mean_worth.mean / max(self.calibration.mean_price.mean, 1e-9)
+        relative_worth = query.query_class.worth / max(query.price, 1e-9) / max(mean_ratio, 1e-9)
+        return 3 if relative_worth > 2 else 2 if relative_worth > 0.5 else 1 if relative_worth > 0.125 else 0
 
     def tick(self) -> None:
-        passed, self.last_tick_at = self.now - max(self.last_tick_at, 0.0), self.now
-        step = min(0.5, SHARE_STEP * passed / TICK_S)
+        """Runs the periodic checks: shares by pressure, silent engines, and keys whose rest has ended."""
+        elapsed_s = self.now - max(self.last_tick_at, 0.0)
+        self.last_tick_at = self.now
+        step = min(0.5, SHARE_STEP * elapsed_s / TICK_S)
         self.blocked_queues.clear()
         for engine in list(self.router.active_engines.values()):
             self.router.own_cores += engine.adjust_share(self.now, step)
@@ -824,7 +1129,10 @@
                 self.hold(self.key_order.queues[key][0])
 
     def expire_waits(self) -> None:
-        """After each release: a query may arrive with less time left than one tick."""
+        """Gives up held queries whose wait has ended.
+
+        It runs after each release, since a query may arrive with less time left than one tick.
+        """
         while self.wait_heap and (self.wait_heap[0][0] <= self.now or not self.wait_heap[0][2].is_waiting()):
             if (query := heappop(self.wait_heap)[2]).is_waiting():
                 self.give_up(query, api.GiveUpReason.WAIT_EXPIRED)
