--- a/micahold/interface.py
+++ b/micahold/interface.py
@@ -1,7 +1,9 @@
-"""What the decisions are told and what they answer: settings, events and actions.
+"""The controller's interface: settings and events that it takes, and actions that it returns.
 
-Times are seconds as floats on the clock that is handed to ``Controller.handle``; memory is in MB.
-Indices (class, tenant, zone, kind) point into the tuples of ``Settings``. Nothing here decides.
+Times are floats in seconds. Points in time are on the clock that is passed to ``Controller.handle``;
+durations end in ``_s``. Memory is in MB, work and cost in thread-seconds: one second of one thread of an
+engine. Shares are fractions of 1. Indices of classes, tenants, zones and engine kinds point into the tuples
+of ``Settings``. The module holds plain data and no decisions.
 """
 
 from __future__ import annotations
@@ -11,15 +13,15 @@
 
 
 class RepeatSafety(Enum):
-    """What a second run of a query does."""
+    """Whether a query may run a second time."""
 
-    SAFE = "safe"
-    KEYED = "keyed"
-    UNSAFE = "unsafe"
+    SAFE = "safe"  # a repeat does no harm
+    KEYED = "keyed"  # engines drop a repeat by its key, within the class's scope and window
+    UNSAFE = "unsafe"  # a query that may have run must not run again
 
 
 class DedupScope(Enum):
-    """The engines that drop a repeat of a keyed query."""
+    """The engines that drop a repeat of a keyed query: all, or those of the first run's zone or cell."""
 
     ALL = "all"
     ZONE = "zone"
@@ -27,29 +29,33 @@
 
 
 class Outcome(Enum):
-    """How an attempt ended."""
+    """How an attempt ended.
+
+    After FULL, CONNECT_FAILED and NOT_STARTED the engine has certainly not run the query. After TIMEOUT,
+    RESET and CANCELLED it may still be running.
+    """
 
     OK = "ok"
     ERROR = "error"
-    FULL = "full"
+    FULL = "full"  # the engine refused the query for lack of room
     TIMEOUT = "timeout"
     CONNECT_FAILED = "connect_failed"
-    RESET = "reset"
+    RESET = "reset"  # the connection was lost during the attempt
     CANCELLED = "cancelled"
-    NOT_STARTED = "moot"
+    NOT_STARTED = "moot"  # the query expired or was answered before an engine began it
 
 
 class GiveUpReason(Enum):
-    """Why a query was given up; for counters and the log."""
+    """Why a query was given up. The values appear in counters and in the log."""
 
-    NO_OPEN_SLOT = "places"  # no place open for its class
-    DEADLINE_UNREACHABLE = "reach"  # it can't end before its deadline even at an engine's best
-    WAIT_EXPIRED = "wait"  # held until its time was up: no engine had room, or none may run it
-    ATTEMPTS_EXHAUSTED = "tries"  # its attempts brought nothing, and no other is allowed or in time
+    NO_OPEN_SLOT = "places"  # its class fills its part of the limit of open queries
+    DEADLINE_UNREACHABLE = "reach"  # it can't end before its deadline even on an engine at its best
+    WAIT_EXPIRED = "wait"  # its wait ended: no engine had room, or none may run it
+    ATTEMPTS_EXHAUSTED = "tries"  # its attempts gave no result, and no other is allowed or can end in time
 
 
 class EngineState(Enum):
-    """What the engine list says of an engine."""
+    """The state of an engine in the engine list."""
 
     UP = "up"
     DRAINING = "draining"
@@ -57,26 +63,32 @@
 
 
 class ListKind(Enum):
-    """How a list update is to be read."""
+    """How the entries of a list update relate to the list so far."""
 
-    CHANGES = "changes"
-    FULL = "full"
-    RESTORED = "restored"
-    UNAVAILABLE = "unavailable"
+    CHANGES = "changes"  # they replace single entries
+    FULL = "full"  # they are the whole list: engines that are missing are gone
+    RESTORED = "restored"  # the whole list, after it was unavailable or at the start
+    UNAVAILABLE = "unavailable"  # there are none, and the list so far stays in use
 
 
 class AttemptStatusKind(Enum):
-    """What a note about a running attempt tells."""
+    """The content of a status message about an attempt in flight."""
 
-    PROGRESS = 1
-    SPILLING = 2
-    WAITING = 3
-    ALIVE = 4  # the engine has it still, and says no more
+    PROGRESS = 1  # value: the share of the work that is done
+    SPILLING = 2  # value: the MB of memory that are missing
+    WAITING = 3  # value: 1 while it waits for memory, 2 while it waits for a data load
+    ALIVE = 4  # the engine still has the attempt; no value
 
 
 @dataclass(slots=True, frozen=True)
 class QueryClass:
-    """One class of queries. ``allowed_kinds`` and ``allowed_zones`` are None where unbound."""
+    """One class of queries.
+
+    A query earns ``worth`` if it ends by its soft deadline, and ``late_worth_share`` of it between that and
+    its deadline. The soft deadline is ``soft_deadline_s`` after arrival plus ``soft_deadline_stretch``
+    times the duration on an engine at its best. ``allowed_kinds`` and ``allowed_zones`` are None where all
+    are allowed.
+    """
 
     name: str = ""
     worth: float = 1.0
@@ -88,17 +100,17 @@
     dedup_scope: DedupScope = DedupScope.ALL
     dedup_window_s: float = 0.0
     streamed: bool = False
-    ordered_by_key: bool = False
+    ordered_by_key: bool = False  # queries with one ordering key run one at a time, in order of arrival
     allowed_kinds: frozenset[int] | None = None
     allowed_zones: frozenset[int] | None = None
-    threads: int = 1
-    is_data_load: bool = False
-    waits_for_data_loads: bool = False
+    threads: int = 1  # threads that one query occupies on an engine
+    is_data_load: bool = False  # while it runs on an engine, other loads of its table group wait there
+    waits_for_data_loads: bool = False  # it waits while a data load of its table group runs on its engine
 
 
 @dataclass(slots=True, frozen=True)
 class Tenant:
-    """One tenant: its share of the service, and the rate (queries a second) within that share."""
+    """One tenant: its share of the service, and the rate in queries per second within that share."""
 
     name: str = ""
     share: float = 1.0
@@ -107,7 +119,7 @@
 
 @dataclass(slots=True, frozen=True)
 class EngineKind:
-    """One kind of machine; 0 where a figure is not told."""
+    """One kind of machine; 0 where a figure is unknown."""
 
     name: str = ""
     cores: float = 0.0
@@ -116,7 +128,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Limits:
-    """What the site allows."""
+    """What the site permits the gateway to do, and its limits."""
 
     cancel_allowed: bool = False
     probing_allowed: bool = False
@@ -124,7 +136,7 @@
     retry_hints_allowed: bool = False
     second_copies_allowed: bool = False
     max_attempts: int = 1
-    max_open_queries: int = 0
+    max_open_queries: int = 0  # 0: no limit
     max_retry_after_s: float = 0.0
     connect_timeout_s: float = 0.0
     idle_timeout_s: float = 0.0
@@ -135,24 +147,25 @@
 
 @dataclass(slots=True, frozen=True)
 class Rules:
-    """Figures of the rules. ``retry_window`` is 0 where further attempts are not rationed."""
+    """Figures of the rules that every gateway must keep."""
 
-    answer_slack_s: float = 0.0
+    answer_slack_s: float = 0.0  # a final answer may come this long after the deadline
     ask_within_s: float = 0.0
-    drain_grace_s: float = 0.0
-    cold_initial_speed: float = 1.0
-    cold_duration_s: float = 0.0
+    drain_grace_s: float = 0.0  # an engine may still be sent queries this long after it starts to drain
+    cold_initial_speed: float = 1.0  # speed of an engine that has just started, relative to a warm one
+    cold_duration_s: float = 0.0  # an engine counts as cold for this long after its start
+    # Thread-seconds that a cold engine may be sent per window, relative to its capacity while cold.
     cold_budget_multiple: float = 1.0
-    cold_window_s: float = 0.0
-    order_settle_s: float = 0.0
-    retry_budget_floor: float = 0.0
-    retry_budget_ratio: float = 0.0
-    retry_window_s: float = 0.0
+    cold_window_s: float = 0.0  # the window within which that budget applies
+    order_settle_s: float = 0.0  # rest of an ordering key after an attempt that may still run
+    retry_budget_floor: float = 0.0  # further attempts per window that are always allowed
+    retry_budget_ratio: float = 0.0  # further attempts allowed per query that arrived within the window
+    retry_window_s: float = 0.0  # 0: further attempts are not limited
 
 
 @dataclass(slots=True, frozen=True)
 class ScoreWeights:
-    """How the operators weigh the parts of the service."""
+    """The operators' weights of the parts of the service quality."""
 
     whole: float = 1.0
     worst_window: float = 0.0
@@ -162,9 +175,9 @@
 
 @dataclass(slots=True, frozen=True)
 class Settings:
-    """All that a gateway is told at its start."""
+    """The settings that a gateway receives at its start."""
 
-    gateway_index: int = 0
+    gateway_index: int = 0  # from 0, different at each gateway of the tier
     gateway_count: int = 1
     zone: int = 0
     zones: tuple[str, ...] = ()
@@ -178,7 +191,7 @@
     rules: Rules = field(default_factory=Rules)
     score: ScoreWeights = field(default_factory=ScoreWeights)
     prices: dict[str, float] = field(default_factory=dict)
-    list_is_pushed: bool = True
+    list_is_pushed: bool = True  # list updates come unasked; else they have to be requested by ``WatchList``
     clients_mark_retries: bool = False
     over_share_worth: float = 1.0
     worth_by_work: bool = False
@@ -186,33 +199,33 @@
     report_source: str = ""
     report_columns: tuple[str, ...] = ()
     tick_s: float = 0.0
-    memory_grants_honored: bool = False
-    priorities_honored: bool = False
+    memory_grants_honored: bool = False  # engines take the memory grant of ``SetTerms``
+    priorities_honored: bool = False  # engines take the priority of ``SetTerms``
     max_grant: float = 0.0
     memory_shortage_policy: str = ""
-    status_period_s: float = 0.0
+    status_period_s: float = 0.0  # interval of the engines' status messages; 0: there are none
     engines_report_cost: bool = False
 
 
 @dataclass(slots=True, frozen=True)
 class EngineEntry:
-    """One line of the engine list; ``started`` is 0 for long ago."""
+    """One entry of the engine list."""
 
-    engine: str
+    engine: str  # its id, which is never used again for another engine
     state: EngineState = EngineState.UP
     zone: int = 0
     kind: int = 0
     cell: int = 0
-    started_at: float = 0.0
+    started_at: float = 0.0  # 0: long ago
     weight: float = 1.0
 
 
 @dataclass(slots=True)
 class LoadReport:
-    """An engine's own load report; None where a figure is not in it."""
+    """An engine's own load report; None where it lacks a figure."""
 
-    in_flight: float | None = None
-    queued: float | None = None
+    in_flight: float | None = None  # queries of all gateways that run on the engine
+    queued: float | None = None  # queries that wait on the engine
     busy_share: float | None = None
     latency_s: float | None = None
     rate_per_s: float | None = None
@@ -221,12 +234,12 @@
     disks_busy_share: float | None = None
 
 
-# Events. They and the actions are not frozen: frozen ones take three times as long to make.
+# Events. They and the actions are not frozen: frozen dataclasses take three times as long to construct.
 
 
 @dataclass(slots=True)
 class ListUpdate:
-    """News of the engine list; no entries where it is unavailable."""
+    """A change of the engine list, or the whole list; without entries while it is unavailable."""
 
     kind: ListKind
     revision: int = 0
@@ -235,14 +248,14 @@
 
 @dataclass(slots=True)
 class QueryArrived:
-    """A query that this gateway now owes one final answer; estimates are None where not told."""
+    """A new query, to which the gateway owes exactly one final answer. Estimates are None where unknown."""
 
-    query: int
+    query: int  # the gateway's number of the query, also in all other events and actions
     class_index: int
     tenant_index: int
     deadline: float
-    ordering_key: int | None = None
-    estimated_cost_s: float | None = None
+    ordering_key: int | None = None  # used only where the class is ordered by key
+    estimated_cost_s: float | None = None  # thread-seconds by the client's estimate
     estimated_memory_mb: float | None = None
     table_group: int = 0
     is_client_retry: bool = False
@@ -251,7 +264,7 @@
 
 @dataclass(slots=True)
 class AttemptStreaming:
-    """The answer of a streamed query has begun to flow."""
+    """The first part of a streamed query's answer has arrived."""
 
     query: int
     attempt: int
@@ -261,7 +274,7 @@
 
 @dataclass(slots=True)
 class AttemptStatus:
-    """Word on an attempt that is out: share done, MB missing, or what it waits for (1 memory, 2 a load)."""
+    """A status message about an attempt in flight; ``AttemptStatusKind`` gives the meaning of ``value``."""
 
     query: int
     attempt: int
@@ -272,7 +285,11 @@
 
 @dataclass(slots=True)
 class AttemptEnded:
-    """The outcome of one attempt; ``settled`` when the query has ended by it or before it."""
+    """The outcome of one attempt.
+
+    ``query_settled`` is True if the query has its final answer, by this attempt or before it. ``work_s`` and
+    ``memory_mb`` are what the engine says that the attempt used.
+    """
 
     query: int
     attempt: int
@@ -287,21 +304,21 @@
 
 @dataclass(slots=True)
 class QueryDropped:
-    """The client is gone; nothing is owed for the query any more."""
+    """The client no longer waits for the query, which therefore needs no final answer."""
 
     query: int
 
 
 @dataclass(slots=True)
 class TimerFired:
-    """A timer that was set has come due."""
+    """A timer that ``SetTimer`` started has expired."""
 
     timer: int
 
 
 @dataclass(slots=True)
 class GatewayClosing:
-    """This gateway ends: what it has and what comes has to be answered by then."""
+    """The gateway shuts down: present and new queries have to be answered by ``answer_by``."""
 
     answer_by: float
 
@@ -318,7 +335,7 @@
 
 @dataclass(slots=True)
 class PeerMessage:
-    """Bytes from another gateway of the tier."""
+    """A message from another gateway of the tier."""
 
     gateway: int
     payload: bytes
@@ -326,7 +343,10 @@
 
 @dataclass(slots=True)
 class PeerReport:
-    """What the other gateways say of engines: each replaces the one before and is void after ``until``."""
+    """The engines that other gateways see failing or draining.
+
+    Each report replaces the previous one and is void after ``valid_until``.
+    """
 
     failing: frozenset[str] = frozenset()
     draining: frozenset[str] = frozenset()
@@ -335,7 +355,11 @@
 
 @dataclass(slots=True)
 class GroupSize:
-    """Gateways: ``bound`` divides what a rule allows, ``living`` what is only efficiency."""
+    """The number of gateways, by the members that are in the group.
+
+    ``upper_bound`` divides what a rule limits, so that the rule holds even if more gateways exist than are
+    seen alive. ``alive`` divides what only affects efficiency.
+    """
 
     upper_bound: int
     alive: int
@@ -362,7 +386,7 @@
 
 @dataclass(slots=True)
 class Send:
-    """Start an attempt; it is abandoned at ``expires`` (0: when the client gives up)."""
+    """Starts an attempt, which is abandoned at ``expires`` (0: at the query's deadline)."""
 
     query: int
     engine: str
@@ -371,7 +395,7 @@
 
 @dataclass(slots=True)
 class SetTerms:
-    """The grant (0: the engine's own choice) and priority of the query's next attempts."""
+    """Sets the memory grant (0: the engine's own choice) and the priority of the query's next attempts."""
 
     query: int
     grant_mb: float = 0.0
@@ -380,7 +404,7 @@
 
 @dataclass(slots=True)
 class Refuse:
-    """Final answer: refused, trying again is harmless (after ``retry_after``; 0: no advice)."""
+    """Final answer: refused. The client may safely retry, after ``retry_after`` seconds (0: no hint)."""
 
     query: int
     retry_after: float = 0.0
@@ -389,7 +413,7 @@
 
 @dataclass(slots=True)
 class Fail:
-    """Final answer: failed, promising nothing."""
+    """Final answer: failed. The query may have run, so a retry may not be safe."""
 
     query: int
     reason: GiveUpReason = field(default=GiveUpReason.WAIT_EXPIRED, compare=False, repr=False)
@@ -397,7 +421,7 @@
 
 @dataclass(slots=True)
 class Cancel:
-    """Stop waiting for one attempt."""
+    """Cancels one attempt."""
 
     query: int
     attempt: int
@@ -405,7 +429,7 @@
 
 @dataclass(slots=True)
 class SetTimer:
-    """Ask for a ``TimerFired`` after ``delay``."""
+    """Requests a ``TimerFired`` after ``delay`` seconds."""
 
     timer: int
     delay: float
@@ -413,33 +437,33 @@
 
 @dataclass(slots=True)
 class WatchList:
-    """Ask for the engine list's changes from now on, or stop asking."""
+    """Starts or stops the delivery of engine list changes."""
 
     wanted: bool = True
 
 
 @dataclass(slots=True)
 class FetchList:
-    """Ask once for the whole engine list."""
+    """Requests the whole engine list once."""
 
 
 @dataclass(slots=True)
 class Probe:
-    """Test an engine."""
+    """Probes an engine; ``ProbeEnded`` gives the outcome."""
 
     engine: str
 
 
 @dataclass(slots=True)
 class CloseIdle:
-    """Close the idle connections to an engine."""
+    """Closes the idle connections to an engine."""
 
     engine: str
 
 
 @dataclass(slots=True)
 class TellPeer:
-    """Send at most 256 bytes to one gateway, or to all (None)."""
+    """Sends at most 256 bytes to one gateway, or to all (None)."""
 
     payload: bytes
     gateway: int | None = None
@@ -447,7 +471,7 @@
 
 @dataclass(slots=True)
 class Log:
-    """A line for the operators."""
+    """Writes a line to the operators' log."""
 
     line: str
 
--- a/micahold/query.py
+++ b/micahold/query.py
@@ -1,4 +1,4 @@
-"""What a gateway keeps of a query while it answers for it. Plain data; nothing here decides."""
+"""The state that a gateway keeps of an open query. The module holds plain data and no decisions."""
 
 from __future__ import annotations
 
@@ -10,26 +10,27 @@
 
 @dataclass(slots=True, eq=False)
 class Query:
-    """A query that this gateway has taken and not yet finished with."""
+    """A query from its arrival until it is answered and has no attempt in flight."""
 
     arrival: QueryArrived
     query_class: QueryClass
-    ordering_key: int | None  # None where the class keeps no order
-    estimated_cost_s: float  # told, or learned
-    price: float = 0.0
-    expected_s: float = 0.0  # time on an engine at its best
-    duration_known: bool = False  # how long its class takes was known when it was sent
-    confirmed_at: float = -inf  # when its engine last said that it has it
-    soft_deadline: float = 0.0  # when its full worth ends
+    ordering_key: int | None  # None where the class is not ordered by key
+    estimated_cost_s: float  # thread-seconds: the client's estimate, or the class's learned mean
+    price: float = 0.0  # thread-seconds that the tenant is charged: the calibrated estimate
+    expected_s: float = 0.0  # duration on an engine at its best
+    duration_known: bool = False  # whether the class's duration was learned when the attempt was sent
+    confirmed_at: float = -inf  # when the engine last confirmed that it has the attempt
+    soft_deadline: float = 0.0  # the time after which the query earns only part of its worth
     attempt_count: int = 0
-    engine: str | None = None  # where an attempt is out
-    sent_at: float = 0.0
-    cancel_requested: bool = False
-    charged: bool = False
-    finished: bool = False
+    engine: str | None = None  # the engine of the attempt in flight
+    sent_at: float = 0.0  # when the last attempt was sent
+    cancel_requested: bool = False  # whether the attempt in flight was cancelled
+    charged: bool = False  # whether the price was taken from the token bucket
+    finished: bool = False  # no final answer is due
+    # Attempts that ended and may have run: when each was sent, and the engine's entry.
     possible_runs: list[tuple[float, EngineEntry]] = field(default_factory=list)
     tried_engines: set[str] = field(default_factory=set)
 
     def is_waiting(self) -> bool:
-        """Neither over nor out."""
+        """Whether the query is neither finished nor in flight."""
         return not self.finished and self.engine is None
