--- a/micahold/transport/__init__.py
+++ b/micahold/transport/__init__.py
@@ -1,1 +1,1 @@
-"""Twisted protocols, factories and Deferreds: sessions of clients, calls to engines, the command channel."""
+"""Twisted protocols and factories: client sessions, HTTP calls to engines, and the command channel."""
--- a/micahold/transport/attempts.py
+++ b/micahold/transport/attempts.py
@@ -1,4 +1,8 @@
-"""One attempt of a query on one engine: start it, ask for news, read the result whole, or give it up."""
+"""One attempt of a query on one engine: submit it, poll for its status, read all result pages, or abort it.
+
+An engine accepts a query with POST and answers 202 while the query runs. GET polls for the status and fetches
+further result pages; DELETE cancels the query.
+"""
 
 from __future__ import annotations
 
@@ -26,17 +30,26 @@
 from micahold.transport.directory import EngineDirectory
 from micahold.transport.timers import TimerQueue
 
-QUERY_LEASE_S = 2.0  # an engine forgets a query that has not been asked for in this time
-MIN_POLL_INTERVAL_S = 0.05  # news are asked for no faster than this, should an engine answer 202 at once
+# An engine discards a query that has not been polled for this long.
+QUERY_LEASE_S = 2.0
+# Bounds the poll rate when an engine answers 202 immediately instead of holding the request.
+MIN_POLL_INTERVAL_S = 0.05
 MAX_PAGES = 64
-MAX_UNREADABLE_RESPONSES = 8  # answers of one attempt that can't be read and are asked for again
-UNTOUCHED = b"srv-untouched"
-ALL_PAGES, ONE_PAGE, LOAD = b"x-sheets", b"x-sheet", b"srv-load"
+# Unreadable responses of one attempt, each of which is requested again; one more aborts the attempt.
+MAX_UNREADABLE_RESPONSES = 8
+# Header with value 1: the engine has not started the query.
+UNTOUCHED_HEADER = b"srv-untouched"
+PAGE_COUNT_HEADER = b"x-sheets"
+PAGE_NUMBER_HEADER = b"x-sheet"
+LOAD_HEADER = b"srv-load"
 
 
 @dataclass(slots=True)
 class AttemptRequest:
-    """What to start where; times are on the clock of ``now``."""
+    """The query to submit and its engine; times are on the clock of ``Attempt.now``.
+
+    The attempt times out at ``expires_at``; the query itself must be answered by ``deadline``.
+    """
 
     engine: str
     query_id: bytes
@@ -49,7 +62,11 @@
 
 @dataclass(slots=True)
 class AttemptResult:
-    """How an attempt ended; ``result_set`` is the whole answer to the query after a good end."""
+    """The outcome of an attempt.
+
+    ``result_set`` holds the complete response to the client and is set for ``Outcome.OK`` only;
+    ``load_report`` is the engine's load header, if its last response had one.
+    """
 
     outcome: Outcome
     result_set: bytes | None = None
@@ -57,7 +74,7 @@
 
 
 class Attempt:
-    """Ends exactly once, through ``done``; what comes after that is dropped."""
+    """Runs one attempt and fires ``done`` exactly once; later responses and errors are ignored."""
 
     def __init__(
         self,
@@ -69,33 +86,40 @@
         timers: TimerQueue,
         on_alive: Callable[[], None] = lambda: None,
     ) -> None:
-        self.request, self.pools, self.directory, self.on_alive = request, pools, directory, on_alive
-        self.counters, self.now, self.timers = counters, now, timers
+        self.request = request
+        self.pools = pools
+        self.directory = directory
+        self.on_alive = on_alive
+        self.counters = counters
+        self.now = now
+        self.timers = timers
         self.done: Deferred[AttemptResult] = Deferred()
-        self.over = False
-        self._call: Call | None = None
-        self._posted: Call | None = None
-        self._given_up: Outcome | None = None
+        self.ended = False
+        self._current_call: Call | None = None
+        self._post_call: Call | None = None
+        self._abort_outcome: Outcome | None = None
         self._path = b"/data/" + request.query_id
-        self._first: Answer | None = None  # the answer that told a good end
-        self._pages = 0
+        self._first_page_response: Answer | None = None
+        self._page_count = 0
         self._rows = ResultRows()
-        self._taken = 0  # pages read so far
-        self._tail = b""  # of a request without headers of its own
-        self._asked = 0.0  # when the engine was last asked for this query
-        self._heard = 0.0  # when it last answered
-        self._is_known = False  # an answer has shown that the engine has this query
-        self._spoilt = 0  # answers that could not be read
-        self._repeated = False  # the call out is a GET that is asked again
-        self._asked_again = False  # there was one
-        self._later: Any = None
-        self._expiry: Any = None
-        self._limit: Any = None
-
-    # Start, news, pages
+        self._pages_read = 0
+        self._request_suffix = b""  # ends the request line and the headers of GET and DELETE requests
+        self._last_request_at = 0.0
+        self._last_response_at = 0.0
+        self._known_to_engine = False  # a response has shown that the engine has this query
+        self._unreadable_count = 0
+        self._is_retry = False  # the current call is a repeated GET
+        self._has_retried = False
+        self._delayed_request: Any = None
+        self._expiry_timer: Any = None
+        self._lease_timer: Any = None
+
+    # Submitting, polling and paging
 
     def start(self) -> None:
-        request, now = self.request, self.now()
+        """Submits the query with POST and starts the expiry timer."""
+        request = self.request
+        now = self.now()
         headers = [
             (b"Via-Id", request.query_id),
             (b"Via-Class", request.class_name),
@@ -104,234 +128,295 @@
         if request.token is not None:
             headers.append((b"Via-Token", request.token))
         host = self._host()
-        self._tail = b" HTTP/1.1\r\nHost: %s\r\n\r\n" % host
+        self._request_suffix = b" HTTP/1.1\r\nHost: %s\r\n\r\n" % host
         message = encode_request(b"POST", b"/data", host, tuple(headers), request.statement)
-        self._expiry = self.timers.call_later(max(0.0, request.expires_at - now), self.abort, Outcome.TIMEOUT)
-        self._heard = now
-        self._posted = self._call = self.pools.call(request.engine, message, now, self._still_takes_work)
-        self._posted.response.addCallbacks(self._news, self._post_failed)
+        self._expiry_timer = self.timers.call_later(
+            max(0.0, request.expires_at - now), self.abort, Outcome.TIMEOUT
+        )
+        self._last_response_at = now
+        self._post_call = self._current_call = self.pools.call(
+            request.engine, message, now, self._check_accepts_queries
+        )
+        self._post_call.response.addCallbacks(self._handle_status, self._handle_post_failure)
 
     def _host(self) -> bytes:
+        """Value of the Host header."""
         address = self.directory.address(self.request.engine)
         return b"%s:%d" % (address[0].encode(), address[1]) if address else b"engine"
 
-    def _still_takes_work(self) -> bool:
-        """Asked before the first byte: the list may have changed while a connection was made."""
-        self._asked = self.now()
+    def _check_accepts_queries(self) -> bool:
+        """Whether to send the POST.
+
+        Called right before the first byte, since the engine list may have changed while a connection was
+        established.
+        """
+        self._last_request_at = self.now()
         return self.directory.accepts_queries(self.request.engine)
 
-    def _note_asked(self) -> bool:
-        self._asked = self.now()
+    def _record_request_time(self) -> bool:
+        """Called right before a GET is sent; always allows it."""
+        self._last_request_at = self.now()
         return True
 
-    def _get(self, number: int, fresh: bool = False, again: bool = False) -> None:
-        if self.over or self._given_up is not None:
+    def _send_get(self, page: int, new_connection: bool = False, is_retry: bool = False) -> None:
+        """Polls for the status (page 0) or fetches a further page."""
+        if self.ended or self._abort_outcome is not None:
             return
-        request = b"GET %s/%d%s" % (self._path, number, self._tail)
-        self._repeated = again
-        due = self._asked + QUERY_LEASE_S
-        # A page tells its number: a second copy of an earlier answer can't pass for it.
-        self._call = self.pools.call(
-            self.request.engine, request, due, self._note_asked, fresh, self_identifying=number > 0
+        message = b"GET %s/%d%s" % (self._path, page, self._request_suffix)
+        self._is_retry = is_retry
+        due_at = self._last_request_at + QUERY_LEASE_S
+        # A page carries its number, so a duplicate of an earlier response can't be mistaken for it.
+        self._current_call = self.pools.call(
+            self.request.engine,
+            message,
+            due_at,
+            self._record_request_time,
+            new_connection,
+            self_identifying=page > 0,
+        )
+        handle_response = self._handle_page if page else self._handle_status
+        self._current_call.response.addCallbacks(
+            handle_response, self._handle_get_failure, errbackArgs=(page,)
         )
-        heard = self._page if number else self._news
-        self._call.response.addCallbacks(heard, self._get_failed, errbackArgs=(number,))
 
-    def _news(self, answer: Answer) -> None:
+    def _handle_status(self, response: Answer) -> None:
+        """Handles the response to the POST or to a status poll."""
         now = self.now()
-        was_known, self._is_known, self._heard = self._is_known, True, now
-        untouched = answer.headers.get(UNTOUCHED) == b"1"
-        if answer.status == 202:
+        was_known = self._known_to_engine
+        self._known_to_engine = True
+        self._last_response_at = now
+        untouched = response.headers.get(UNTOUCHED_HEADER) == b"1"
+        if response.status == 202:
             self.on_alive()
-            # Not at once: the connection that was just used has to rest, and another need not be made.
-            pause = max(self._asked + MIN_POLL_INTERVAL_S - now, 2 * REUSE_DELAY_S)
-            self._later = self.pools.clock.callLater(pause, self._get, 0)
-        elif answer.status == 200:
-            self._first, count = answer, answer.headers.get(ALL_PAGES, b"")
-            if not count.isdigit() or len(count) > 3 or int(count) > MAX_PAGES:
-                self._unreadable(0)
+            # Not immediately: the connection that was just used may not be reused within REUSE_DELAY_S, and
+            # the delay avoids opening another one.
+            delay = max(self._last_request_at + MIN_POLL_INTERVAL_S - now, 2 * REUSE_DELAY_S)
+            self._delayed_request = self.pools.clock.callLater(delay, self._send_get, 0)
+        elif response.status == 200:
+            self._first_page_response = response
+            page_count = response.headers.get(PAGE_COUNT_HEADER, b"")
+            if not page_count.isdigit() or len(page_count) > 3 or int(page_count) > MAX_PAGES:
+                self._handle_unreadable(0)
                 return
-            self._pages = int(count)
-            self._take_page(answer)
-        elif answer.status == 503 and untouched:
-            self._end(Outcome.FULL, answer)
-        elif answer.status == 504:
-            self._end(Outcome.MOOT if untouched else Outcome.TIMEOUT, answer)
-        elif not was_known and self._repeated:
-            # The POST was never answered and the engine does not know the query yet: it must not later. That
-            # is no sign that the engine is unwell: it answers, and resets hit connections to any.
+            self._page_count = int(page_count)
+            self._add_page(response)
+        elif response.status == 503 and untouched:
+            self._finish(Outcome.FULL, response)
+        elif response.status == 504:
+            self._finish(Outcome.MOOT if untouched else Outcome.TIMEOUT, response)
+        elif not was_known and self._is_retry:
+            # The POST was never answered and the engine does not have the query yet: it must not start it
+            # later. This does not count against the engine: it responds, and resets affect any connection.
             self.abort(Outcome.CANCELLED)
         else:
-            self._end(Outcome.ERROR, answer)
-
-    def _page(self, answer: Answer) -> None:
-        self._heard = self.now()
-        if answer.status != 200:
-            self._end(Outcome.ERROR, answer)
-        elif answer.headers.get(ONE_PAGE) != b"%d" % self._taken:
-            self._unreadable(self._taken)
+            self._finish(Outcome.ERROR, response)
+
+    def _handle_page(self, response: Answer) -> None:
+        """Handles the response to the GET of a further page."""
+        self._last_response_at = self.now()
+        if response.status != 200:
+            self._finish(Outcome.ERROR, response)
+        elif response.headers.get(PAGE_NUMBER_HEADER) != b"%d" % self._pages_read:
+            self._handle_unreadable(self._pages_read)
         else:
-            self._take_page(answer)
+            self._add_page(response)
+
+    def _add_page(self, response: Answer) -> None:
+        """Adds a page to the result and fetches the next, or ends the attempt after the last.
 
-    def _take_page(self, answer: Answer) -> None:
-        """The result is read whole before any of it goes on: an engine that dies midway is an outcome."""
+        No part of the result is sent to the client before all pages are read, so that an engine that dies
+        midway is an outcome of the attempt, and not a truncated response.
+        """
         try:
-            self._rows.add_page(answer.body)
+            self._rows.add_page(response.body)
         except ProtocolError:
-            self._unreadable(self._taken)
+            self._handle_unreadable(self._pages_read)
             return
-        self._taken += 1
-        if self._taken < self._pages:
-            self._get(self._taken)
+        self._pages_read += 1
+        if self._pages_read < self._page_count:
+            self._send_get(self._pages_read)
         else:
-            self._end(Outcome.OK, self._first)
+            self._finish(Outcome.OK, self._first_page_response)
 
-    def _unreadable(self, number: int) -> None:
-        """An answer that is HTTP and yet can't be used."""
+    def _handle_unreadable(self, page: int) -> None:
+        """Handles a valid HTTP response whose headers or body can't be used."""
         self.counters.add("engine_answers_unreadable")
-        self._ask_again(number, spoilt=True)
+        self._retry_get(page, unreadable=True)
 
-    # Calls that brought no answer
+    # Calls without a response
 
-    def _post_failed(self, failure: Failure) -> None:
-        """It has perhaps run, and a POST is never repeated; but its news can be asked for.
+    def _handle_post_failure(self, failure: Failure) -> None:
+        """Ends the attempt if nothing was sent; otherwise polls, since the query may be running.
 
-        Guards against good results thrown away because the first answer came spoilt, cut off or never.
+        A POST is never repeated. Polling keeps a good result when only the first response was unreadable, cut
+        off or missing.
         """
         if failure.check(CallNotSentError):
-            self._end(Outcome.MOOT)
+            self._finish(Outcome.MOOT)
         elif failure.check(ConnectError):
-            self._end(Outcome.CONNECT_FAILED)
+            self._finish(Outcome.CONNECT_FAILED)
         elif failure.check(UnreadableResponseError, ConnectionBrokenError):
-            self._ask_again(0, spoilt=failure.check(UnreadableResponseError) is not None)
+            self._retry_get(0, unreadable=failure.check(UnreadableResponseError) is not None)
         else:
-            self._end(Outcome.RESET)
+            self._finish(Outcome.RESET)
             failure.raiseException()
 
-    def _get_failed(self, failure: Failure, number: int) -> None:
-        if self._has_died(failure) or not failure.check(
+    def _handle_get_failure(self, failure: Failure, page: int) -> None:
+        """Retries the GET unless the engine is gone."""
+        if self._engine_is_dead(failure) or not failure.check(
             ConnectionBrokenError, ConnectError, UnreadableResponseError
         ):
-            self._end(Outcome.RESET)
+            self._finish(Outcome.RESET)
         else:
-            fresh = not failure.check(ConnectError)
-            self._ask_again(number, spoilt=failure.check(UnreadableResponseError) is not None, fresh=fresh)
-
-    def _has_died(self, failure: Failure) -> bool:
-        """Refused, and no connection of it is up any more.
-
-        Guards against a second copy: an engine that ends soon takes no new connection and yet runs on.
+            new_connection = not failure.check(ConnectError)
+            self._retry_get(
+                page,
+                unreadable=failure.check(UnreadableResponseError) is not None,
+                new_connection=new_connection,
+            )
+
+    def _engine_is_dead(self, failure: Failure) -> bool:
+        """Whether the engine refuses connections and none to it is established any more.
+
+        A refused connection alone proves nothing: an engine that is shutting down accepts no new connections
+        but still runs its queries, and another attempt would run the query a second time.
         """
         refused = failure.check(ConnectError) and getattr(failure.value, "refused", False)
         return bool(refused) and not self.pools.has_established_connection(self.request.engine)
 
-    def _ask_again(self, number: int, spoilt: bool, fresh: bool = True) -> None:
-        """Only with a GET, on a new connection, until the engine forgets the query or spoils without end."""
-        if self.over or self._given_up is not None:
+    def _retry_get(self, page: int, unreadable: bool, new_connection: bool = True) -> None:
+        """Requests the status or a page again, on a new connection by default.
+
+        Stops when the lease of the query has lapsed or after MAX_UNREADABLE_RESPONSES.
+        """
+        if self.ended or self._abort_outcome is not None:
             return
         now = self.now()
-        if spoilt:
-            self._heard = now
-            self._spoilt += 1
-        if self._spoilt > MAX_UNREADABLE_RESPONSES:
+        if unreadable:
+            self._last_response_at = now
+            self._unreadable_count += 1
+        if self._unreadable_count > MAX_UNREADABLE_RESPONSES:
             self.abort(Outcome.ERROR)
-        elif now > self._heard + QUERY_LEASE_S:
-            self._end(Outcome.RESET)
+        elif now > self._last_response_at + QUERY_LEASE_S:
+            self._finish(Outcome.RESET)
         else:
             self.counters.add("engine_news_asked_again")
-            pause = MIN_POLL_INTERVAL_S if self._repeated else 0.0
-            self._asked_again = True
-            self._later = self.pools.clock.callLater(pause, self._get, number, fresh, True)
+            delay = MIN_POLL_INTERVAL_S if self._is_retry else 0.0
+            self._has_retried = True
+            self._delayed_request = self.pools.clock.callLater(
+                delay, self._send_get, page, new_connection, True
+            )
 
-    # Giving up
+    # Aborting
 
-    def shorten_expiry(self, by: float) -> None:
-        """Its query has to be answered by then, which is earlier than it was."""
+    def shorten_expiry(self, expires_at: float) -> None:
+        """Moves the expiry forward, since the query now has an earlier deadline; a later time is ignored."""
         request = self.request
-        if self.over or self._given_up is not None or by >= request.expires_at:
+        if self.ended or self._abort_outcome is not None or expires_at >= request.expires_at:
             return
-        request.expires_at, request.deadline = by, min(by, request.deadline)
-        self._stop(self._expiry)
-        self._expiry = self.timers.call_later(max(0.0, by - self.now()), self.abort, Outcome.TIMEOUT)
+        request.expires_at = expires_at
+        request.deadline = min(expires_at, request.deadline)
+        self._cancel_timer(self._expiry_timer)
+        self._expiry_timer = self.timers.call_later(
+            max(0.0, expires_at - self.now()), self.abort, Outcome.TIMEOUT
+        )
 
     def abort(self, outcome: Outcome) -> None:
-        """Cancelled, timed out or cut off: with DELETE, and told as ended once it can't be out any more."""
-        if self.over or self._given_up is not None:
-            if self._given_up is not None and outcome is Outcome.TIMEOUT:
-                self._end(self._given_up)  # past its time nothing waits for the engine's word
+        """Cancels the query on the engine with DELETE and ends the attempt with ``outcome``.
+
+        The attempt ends when the query can no longer run there: when the DELETE is answered or the lease has
+        lapsed, or at once if the query was never sent or its deadline has passed.
+        """
+        if self.ended or self._abort_outcome is not None:
+            if self._abort_outcome is not None and outcome is Outcome.TIMEOUT:
+                self._finish(self._abort_outcome)  # after the expiry the answer to the DELETE is not awaited
             return
-        posted, now = self._posted, self.now()
-        if posted is None or not posted.written:
-            if posted is not None:
-                posted.abandon()
-            self._end(Outcome.MOOT if outcome is Outcome.TIMEOUT else outcome)
+        post_call = self._post_call
+        now = self.now()
+        if post_call is None or not post_call.written:
+            if post_call is not None:
+                post_call.abandon()
+            self._finish(Outcome.MOOT if outcome is Outcome.TIMEOUT else outcome)
             return
-        self._given_up = outcome
-        if self._call is not None and self._call is not posted:
-            self._call.abandon()
-        if posted is not None and not posted.ended:
-            posted.abandon()
-        self._stop(self._later)
-        self._delete(False)
-        self._limit = self.timers.call_later(
-            max(0.0, self._asked + QUERY_LEASE_S + MIN_POLL_INTERVAL_S - now), self._forgotten
+        self._abort_outcome = outcome
+        if self._current_call is not None and self._current_call is not post_call:
+            self._current_call.abandon()
+        if post_call is not None and not post_call.ended:
+            post_call.abandon()
+        self._cancel_timer(self._delayed_request)
+        self._send_delete(False)
+        self._lease_timer = self.timers.call_later(
+            max(0.0, self._last_request_at + QUERY_LEASE_S + MIN_POLL_INTERVAL_S - now),
+            self._handle_lease_expired,
         )
         if now >= self.request.deadline:
-            self._end(outcome)  # the query is over, so no other attempt can follow
-
-    def _delete(self, fresh: bool) -> None:
-        request = b"DELETE %s%s" % (self._path, self._tail)
-        self._call = self.pools.call(self.request.engine, request, self.now(), None, fresh)
-        self._call.response.addCallbacks(self._deleted, self._delete_failed)
-
-    def _deleted(self, answer: Answer) -> None:
-        self._stop(self._limit)
-        self._end_given_up()
-
-    def _delete_failed(self, failure: Failure) -> None:
-        if self._has_died(failure) or not failure.check(ConnectError, ConnectionBrokenError):
-            self._stop(self._limit)
-            self._end_given_up()
-        elif self._limit is not None and self._limit.active():
-            fresh = not failure.check(ConnectError)
-            self._later = self.pools.clock.callLater(MIN_POLL_INTERVAL_S, self._delete, fresh)
+            self._finish(outcome)  # the query is over, so no other attempt can follow
+
+    def _send_delete(self, new_connection: bool) -> None:
+        message = b"DELETE %s%s" % (self._path, self._request_suffix)
+        self._current_call = self.pools.call(self.request.engine, message, self.now(), None, new_connection)
+        self._current_call.response.addCallbacks(self._handle_deleted, self._handle_delete_failure)
+
+    def _handle_deleted(self, response: Answer) -> None:
+        self._cancel_timer(self._lease_timer)
+        self._finish_aborted()
+
+    def _handle_delete_failure(self, failure: Failure) -> None:
+        """Repeats the DELETE until the lease has lapsed, unless the engine is gone."""
+        if self._engine_is_dead(failure) or not failure.check(ConnectError, ConnectionBrokenError):
+            self._cancel_timer(self._lease_timer)
+            self._finish_aborted()
+        elif self._lease_timer is not None and self._lease_timer.active():
+            new_connection = not failure.check(ConnectError)
+            self._delayed_request = self.pools.clock.callLater(
+                MIN_POLL_INTERVAL_S, self._send_delete, new_connection
+            )
         else:
-            self._end_given_up()
+            self._finish_aborted()
+
+    def _handle_lease_expired(self) -> None:
+        """Ends the attempt once the engine has discarded the query for lack of polls.
 
-    def _forgotten(self) -> None:
-        """Not asked for in so long that the engine has dropped it; nothing of ours may still reach it."""
-        self._stop(self._later)
-        for call in (self._call, self._posted):
+        Connections with a request of this attempt are aborted, so that no delayed bytes can still reach the
+        engine.
+        """
+        self._cancel_timer(self._delayed_request)
+        for call in (self._current_call, self._post_call):
             if call is not None:
                 call.abandon(abort_connection=True)
-        self._end_given_up()
+        self._finish_aborted()
 
-    def _end_given_up(self) -> None:
-        assert self._given_up is not None
-        self._end(self._given_up)
-        self._let_go()
+    def _finish_aborted(self) -> None:
+        assert self._abort_outcome is not None
+        self._finish(self._abort_outcome)
+        self._release_references()
 
-    def _let_go(self) -> None:
-        """Calls lead back here: without this each attempt that is given up waits for a collection.
+    def _release_references(self) -> None:
+        """Drops the references to calls and timers, which refer back to this attempt.
 
-        Guards against memory that grows by a result for each of them.
+        Without this, every aborted attempt is a reference cycle that holds a result until the next garbage
+        collection, and memory grows.
         """
-        self._call = self._posted = None
-        self._later = self._limit = self._expiry = None
+        self._current_call = self._post_call = None
+        self._delayed_request = self._lease_timer = self._expiry_timer = None
 
-    def _stop(self, timer: Any) -> None:
+    def _cancel_timer(self, timer: Any) -> None:
         if timer is not None and timer.active():
             timer.cancel()
 
-    def _end(self, outcome: Outcome, answer: Answer | None = None) -> None:
-        if self.over:
+    def _finish(self, outcome: Outcome, response: Answer | None = None) -> None:
+        """Ends the attempt and fires ``done``; does nothing if it has already ended."""
+        if self.ended:
             return
-        self.over = True
-        self._stop(self._expiry)
-        if self._asked_again and outcome is Outcome.OK:
-            self.counters.add("attempts_saved")  # by asking again
-        load = answer.headers.get(LOAD) if answer is not None else None
-        rows, self._rows = self._rows, ResultRows()
-        if self._given_up is None:
-            self._let_go()
-        self.done.callback(AttemptResult(outcome, rows.answer() if outcome is Outcome.OK else None, load))
+        self.ended = True
+        self._cancel_timer(self._expiry_timer)
+        if self._has_retried and outcome is Outcome.OK:
+            self.counters.add("attempts_saved")
+        load_report = response.headers.get(LOAD_HEADER) if response is not None else None
+        rows = self._rows
+        self._rows = ResultRows()
+        if self._abort_outcome is None:
+            self._release_references()
+        self.done.callback(
+            AttemptResult(outcome, rows.answer() if outcome is Outcome.OK else None, load_report)
+        )
--- a/micahold/transport/calls.py
+++ b/micahold/transport/calls.py
@@ -1,4 +1,4 @@
-"""HTTP calls to engines: pools of connections by engine id, within a bound on all connections."""
+"""HTTP calls to engines over pooled connections: one pool per engine id, one limit for all connections."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from itertools import count
 from typing import Any
 
-from twisted.internet import error
+from twisted.internet import error as twisted_error
 from twisted.internet.defer import Deferred
 from twisted.internet.interfaces import IAddress
 from twisted.internet.protocol import ClientFactory, Protocol, connectionDone
@@ -20,203 +20,240 @@
 from micahold.transport.directory import EngineDirectory
 from micahold.transport.timers import Timer, TimerQueue
 
-SWEEP_INTERVAL_S = 1.0  # how often idle connections are looked through
-RESPONSE_TIMEOUT_S = (
-    0.6  # an engine has news within 250 ms: a call unanswered for so long is lost with its connection
-)
-LATE_READ_GRACE_S = 0.05  # more, for what has come but was not read yet by a late loop
-REUSE_DELAY_S = (
-    0.003  # between an answer and the next call on its connection: a second copy of it shows by then
-)
+# Interval between checks for connections that have been idle for too long.
+SWEEP_INTERVAL_S = 1.0
+# An engine responds within 250 ms, so a call without a response for this long is lost with its connection.
+RESPONSE_TIMEOUT_S = 0.6
+# Extra time after RESPONSE_TIMEOUT_S for a response that has arrived but a late event loop has not read yet.
+LATE_READ_GRACE_S = 0.05
+# Minimum time between a response and the next call on its connection: a duplicate of the response arrives
+# within it and can't be mistaken for the response to the next call.
+REUSE_DELAY_S = 0.003
 
 
 class CallError(Exception):
-    """A call that brought no answer."""
+    """Base class of the errors of calls that ended without a response."""
 
 
 class CallNotSentError(CallError):
-    """Nothing was written: the call was no longer to be made when its turn came."""
+    """Nothing was sent: the call was no longer valid when a connection was available."""
 
 
 class ConnectError(CallError):
-    """No connection came up, so nothing was written."""
+    """No connection could be established, so nothing was sent."""
 
     def __init__(self, refused: bool) -> None:
-        super().__init__("refused" if refused else "no connection in time")
+        super().__init__("connection refused" if refused else "connection not established in time")
         self.refused = refused
 
 
 class ConnectionBrokenError(CallError):
-    """The connection ended after the call was written and before its answer was whole."""
+    """The connection ended after the request was sent and before the response was complete."""
 
 
 class UnreadableResponseError(CallError):
-    """What came is not an HTTP answer."""
+    """The engine sent data that is not an HTTP response."""
 
 
 class Call:
-    """One request to one engine: lined up, then written, then ended."""
+    """One request to one engine: queued, then written, then ended.
+
+    ``response`` fires with the response or with a ``CallError``. Where ``should_send`` is given, it is called
+    right before the first byte and decides whether the request is still sent.
+    """
 
     def __init__(
         self, engine: str, request: bytes, due_at: float, should_send: Callable[[], bool] | None
     ) -> None:
-        self.engine, self.request, self.due_at, self.should_send = engine, request, due_at, should_send
+        self.engine = engine
+        self.request = request
+        self.due_at = due_at
+        self.should_send = should_send
         self.response: Deferred[Answer] = Deferred()
         self.written = self.ended = False
         self.new_connection = self.self_identifying = False
         self.connection: EngineConnection | None = None
 
-    def succeed(self, answer: Answer) -> None:
+    def succeed(self, response: Answer) -> None:
+        """Ends the call with its response, unless it has already ended."""
         if not self.ended:
             self.ended = True
-            self.response.callback(answer)
+            self.response.callback(response)
 
-    def fail(self, why: CallError) -> None:
+    def fail(self, reason: CallError) -> None:
+        """Ends the call with an error, unless it has already ended."""
         if not self.ended:
-            self.ended, self.should_send = True, None
-            self.response.errback(Failure(why))
+            self.ended = True
+            self.should_send = None
+            self.response.errback(Failure(reason))
 
     def abandon(self, abort_connection: bool = False) -> None:
-        """Nobody wants the answer any more; ``abort_connection`` also stops bytes on their way."""
-        self.ended, self.should_send = True, None
-        self.response = Deferred()  # the other led back to who made the call
+        """Ends the call without firing ``response``.
+
+        ``abort_connection`` also aborts the connection, so that bytes not yet delivered are discarded.
+        """
+        self.ended = True
+        self.should_send = None
+        self.response = Deferred()  # the previous one refers to the caller; dropping it avoids a cycle
         if abort_connection and self.connection is not None:
-            self.connection.break_off()
+            self.connection.abort_call()
 
 
 class EngineConnection(Protocol):
-    """One connection, one call at a time."""
+    """A connection to an engine that carries one call at a time."""
 
     def __init__(
-        self, pools: EngineConnectionPools, engine: str, address: tuple[str, int], first: Call
+        self, pools: EngineConnectionPools, engine: str, address: tuple[str, int], initial_call: Call
     ) -> None:
-        self.pools, self.engine, self.address = pools, engine, address
-        self.first: Call | None = first
-        self.call: Call | None = None
+        self.pools = pools
+        self.engine = engine
+        self.address = address
+        self.initial_call: Call | None = initial_call
+        self.current_call: Call | None = None
         self.idle_since = 0.0
         self.closing = False
         self._reader = AnswerReader()
-        self._limit: Timer | None = None
+        self._response_timer: Timer | None = None
 
     def connectionMade(self) -> None:
         transport: Any = self.transport
         transport.setTcpNoDelay(True)
-        first, self.first = self.first, None
-        if first is not None:
-            self.pools.connected(self, first)
+        initial_call = self.initial_call
+        self.initial_call = None
+        if initial_call is not None:
+            self.pools.connection_established(self, initial_call)
 
     def send(self, call: Call) -> None:
+        """Writes the request of the call and starts the response timeout."""
         transport: Any = self.transport
-        self.call, call.connection, call.written = call, self, True
-        call.should_send = None  # it leads back to who made the call: no cycle is left behind
+        self.current_call = call
+        call.connection = self
+        call.written = True
+        call.should_send = None  # it refers to the caller; dropping it avoids a reference cycle
         transport.write(call.request)
-        self._limit = self.pools.timers.call_later(RESPONSE_TIMEOUT_S, self._late, False)
+        self._response_timer = self.pools.timers.call_later(
+            RESPONSE_TIMEOUT_S, self._handle_response_timeout, False
+        )
+
+    def _handle_response_timeout(self, grace_elapsed: bool) -> None:
+        """Fails the call and aborts the connection, after a grace period for data that has not been read yet.
 
-    def _late(self, again: bool) -> None:
-        """Guards against answers that stop short or never come: every call has an end."""
-        if not again:
-            self._limit = self.pools.timers.call_later(LATE_READ_GRACE_S, self._late, True)
+        Guards against responses that stop midway or never arrive: every call ends.
+        """
+        if not grace_elapsed:
+            self._response_timer = self.pools.timers.call_later(
+                LATE_READ_GRACE_S, self._handle_response_timeout, True
+            )
             return
-        call = self.call
+        call = self.current_call
         self.pools.counters.add("engine_calls_unanswered")
-        self.break_off()
+        self.abort_call()
         if call is not None:
-            call.fail(ConnectionBrokenError("no answer in time"))
+            call.fail(ConnectionBrokenError("no response within the timeout"))
 
     def dataReceived(self, data: bytes) -> None:
-        call = self.call
+        call = self.current_call
         if call is None:
-            self.drop()  # an idle connection has nothing to say
+            self.abort()  # an engine must not send data on an idle connection
             return
         try:
-            answer = self._reader.feed(data)
-        except ProtocolError as problem:
-            self.break_off()
+            response = self._reader.feed(data)
+        except ProtocolError as error:
+            self.abort_call()
             self.pools.counters.add("engine_answers_unreadable")
-            call.fail(UnreadableResponseError(str(problem)))
+            call.fail(UnreadableResponseError(str(error)))
             return
-        if answer is not None:
-            self._finish(call, answer)
-
-    def _finish(self, call: Call, answer: Answer) -> None:
-        self.call = call.connection = None
-        self._stop_limit()
-        if answer.keeps_open:
-            self.pools.free(self)
+        if response is not None:
+            self._finish_call(call, response)
+
+    def _finish_call(self, call: Call, response: Answer) -> None:
+        """Releases or aborts the connection, then delivers the response."""
+        self.current_call = call.connection = None
+        self._cancel_response_timer()
+        if response.keeps_open:
+            self.pools.release(self)
         else:
-            self.drop()
-        call.succeed(answer)
+            self.abort()
+        call.succeed(response)
         if self.pools.waiting_calls:
             self.pools.dispatch_waiting()
 
-    def break_off(self) -> None:
-        """End the call out and the connection with it."""
-        call, self.call = self.call, None
+    def abort_call(self) -> None:
+        """Detaches the current call, which is neither answered nor failed, and aborts the connection."""
+        call = self.current_call
+        self.current_call = None
         if call is not None:
             call.connection = None
-        self.drop()
+        self.abort()
 
-    def drop(self) -> None:
-        """Close for good; a reset, so that nothing unsent lingers."""
-        self._stop_limit()
+    def abort(self) -> None:
+        """Closes the connection with a TCP reset, so that unsent data is discarded."""
+        self._cancel_response_timer()
         if not self.closing:
             self.closing = True
-            self.pools.lost(self)
+            self.pools.connection_closed(self)
             if self.transport is not None:
                 self.transport.abortConnection()
 
-    def _stop_limit(self) -> None:
-        if self._limit is not None:
-            self._limit.cancel()
-            self._limit = None
+    def _cancel_response_timer(self) -> None:
+        if self._response_timer is not None:
+            self._response_timer.cancel()
+            self._response_timer = None
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
-        self._stop_limit()
-        call, self.call = self.call, None
+        self._cancel_response_timer()
+        call = self.current_call
+        self.current_call = None
         if not self.closing:
             self.closing = True
-            self.pools.lost(self)
+            self.pools.connection_closed(self)
         if call is None:
             return
         call.connection = None
-        answer = self._reader.end() if reason.check(error.ConnectionDone) else None
-        if answer is not None:
-            call.succeed(answer)
+        response = self._reader.end() if reason.check(twisted_error.ConnectionDone) else None
+        if response is not None:
+            call.succeed(response)
         else:
             call.fail(ConnectionBrokenError(reason.getErrorMessage()))
 
 
-class _Connecting(ClientFactory):
-    """One connection being made for one call."""
+class _ConnectionFactory(ClientFactory):
+    """Establishes one connection for one call."""
 
     noisy = False
 
     def __init__(self, pools: EngineConnectionPools, address: tuple[str, int], call: Call) -> None:
-        self.pools, self.address = pools, address
+        self.pools = pools
+        self.address = address
         self.call: Call | None = call
 
     def buildProtocol(self, addr: IAddress | None) -> EngineConnection:
-        call, self.call = self.call, None  # a factory lives as long as its connection
+        call = self.call
+        self.call = None  # the factory lives as long as its connection and must not hold the call
         assert call is not None
         return EngineConnection(self.pools, call.engine, self.address, call)
 
     def clientConnectionFailed(self, connector: Any, reason: Failure) -> None:
-        self._let_go(connector)
-        call, self.call = self.call, None
+        self._break_reference_cycle(connector)
+        call = self.call
+        self.call = None
         if call is not None:
-            self.pools.connect_failed(call, reason.check(error.ConnectionRefusedError) is not None)
+            self.pools.connection_failed(call, reason.check(twisted_error.ConnectionRefusedError) is not None)
 
     def clientConnectionLost(self, connector: Any, reason: Failure) -> None:
-        self._let_go(connector)
+        self._break_reference_cycle(connector)
 
-    def _let_go(self, connector: Any) -> None:
-        """Twisted's connector and its transport hold each other, and would wait for a collection."""
+    def _break_reference_cycle(self, connector: Any) -> None:
+        """Twisted's connector and its transport refer to each other until a garbage collection."""
         if connector is not None:
             connector.transport = None
 
 
 class EngineConnectionPools:
-    """Connections to all engines, ``max_connections`` at most; calls wait in line by what is due first."""
+    """Connections to all engines, pooled by engine id.
+
+    At most ``max_connections`` are open in all. Calls beyond them wait in a queue, earliest due time first.
+    """
 
     def __init__(
         self,
@@ -227,16 +264,23 @@
         connect_timeout: float,
         engine_idle_timeout: float,
     ) -> None:
-        self.clock, self.directory, self.counters, self.timers = clock, directory, counters, TimerQueue(clock)
-        self.max_connections, self.connect_timeout = max_connections, connect_timeout
-        # Half the engines' own limit: a call must not cross the close of the connection it is written to.
-        self.idle_limit = engine_idle_timeout / 2
-        self.open_connections = 0  # connections that are up or being made
+        self.clock = clock
+        self.directory = directory
+        self.counters = counters
+        self.timers = TimerQueue(clock)
+        self.max_connections = max_connections
+        self.connect_timeout = connect_timeout
+        # Half the engines' own idle timeout, so that no request is sent on a connection that its engine is
+        # closing at that moment. 0 disables the sweep.
+        self.idle_timeout = engine_idle_timeout / 2
+        self.open_connections = 0  # established or being established
         self._idle: dict[str, deque[EngineConnection]] = {}
-        self._established: dict[str, int] = {}  # connections that are up, by engine
-        self.waiting_calls: list[tuple[float, int, Call]] = []
-        self._serial = count()
-        self._sweep = clock.callLater(SWEEP_INTERVAL_S, self._close_old) if self.idle_limit > 0 else None
+        self._established: dict[str, int] = {}  # number of established connections by engine
+        self.waiting_calls: list[tuple[float, int, Call]] = []  # heap of due time, tie breaker and call
+        self._sequence = count()
+        self._sweep = (
+            clock.callLater(SWEEP_INTERVAL_S, self._close_expired_idle) if self.idle_timeout > 0 else None
+        )
 
     def call(
         self,
@@ -247,97 +291,109 @@
         new_connection: bool = False,
         self_identifying: bool = False,
     ) -> Call:
-        """Line a call up; ``should_send`` is asked before the first byte.
+        """Sends a request to an engine, or queues it while no connection is available.
 
-        ``new_connection`` asks for one; ``self_identifying``: no other answer could pass for its own.
+        ``should_send`` is called right before the first byte and may still prevent it. ``new_connection``
+        excludes pooled connections. ``self_identifying`` says that no other response can be mistaken for the
+        one to this request, so that REUSE_DELAY_S does not apply.
         """
         call = Call(engine, request, due_at, should_send)
-        call.new_connection, call.self_identifying = new_connection, self_identifying
-        if self.waiting_calls or not self._place(call):
-            heappush(self.waiting_calls, (due_at, next(self._serial), call))
+        call.new_connection = new_connection
+        call.self_identifying = self_identifying
+        if self.waiting_calls or not self._dispatch(call):
+            heappush(self.waiting_calls, (due_at, next(self._sequence), call))
             self.counters.most("calls_in_line", len(self.waiting_calls))
         return call
 
     def dispatch_waiting(self) -> None:
-        """Place the calls that are due first, as far as there are connections."""
+        """Dispatches waiting calls in order of their due time until no connection is available."""
         while self.waiting_calls:
             call = self.waiting_calls[0][2]
-            if not call.ended and not self._place(call):
+            if not call.ended and not self._dispatch(call):
                 return
             heappop(self.waiting_calls)
 
-    def _place(self, call: Call) -> bool:
-        """False while there is no connection for it."""
-        rested = (
+    def _dispatch(self, call: Call) -> bool:
+        """Sends a call on an idle or a new connection; False if none is available."""
+        connection = (
             None
             if call.new_connection
-            else self._rested(call.engine, 0.0 if call.self_identifying else REUSE_DELAY_S)
+            else self._take_idle(call.engine, 0.0 if call.self_identifying else REUSE_DELAY_S)
         )
-        if rested is not None:
-            self._start(rested, call)
+        if connection is not None:
+            self._send(connection, call)
             return True
         address = self.directory.address(call.engine)
         if address is None:
-            self._not_sent(call, "the engine has gone")
+            self._fail_unsent(call, "the engine is no longer listed")
             return True
-        if self.open_connections >= self.max_connections and not self._close_oldest():
+        if self.open_connections >= self.max_connections and not self._evict_longest_idle():
             return False
         self.open_connections += 1
         self.counters.most("engine_connections", self.open_connections)
         self.counters.add("engine_connects")
-        self.clock.connectTCP(*address, _Connecting(self, address, call), timeout=self.connect_timeout)
+        self.clock.connectTCP(*address, _ConnectionFactory(self, address, call), timeout=self.connect_timeout)
         return True
 
-    def _rested(self, engine: str, rest: float) -> EngineConnection | None:
-        """The idle connection used last that has rested for so long.
+    def _take_idle(self, engine: str, min_idle: float) -> EngineConnection | None:
+        """Removes and returns the most recently used connection that has been idle for ``min_idle`` seconds.
 
-        Guards against a second copy of an answer that would pass for the answer to the next call.
+        Guards against a duplicate of a response that would be taken for the response to the next call.
         """
-        idle, before = self._idle.get(engine, ()), self.clock.seconds() - rest
-        for at in range(len(idle) - 1, -1, -1):
-            connection = idle[at]
-            if connection.idle_since <= before:
-                del self._idle[engine][at]
+        idle = self._idle.get(engine, ())
+        idle_before = self.clock.seconds() - min_idle
+        for index in range(len(idle) - 1, -1, -1):
+            connection = idle[index]
+            if connection.idle_since <= idle_before:
+                del self._idle[engine][index]
                 return connection
         return None
 
-    def _start(self, connection: EngineConnection, call: Call) -> None:
+    def _send(self, connection: EngineConnection, call: Call) -> None:
+        """Sends the call, or releases the connection if the call has ended or is no longer to be sent."""
         if call.ended:
-            self.free(connection)
+            self.release(connection)
         elif call.should_send is not None and not call.should_send():
-            self.free(connection)
-            self._not_sent(call, "no longer wanted")
+            self.release(connection)
+            self._fail_unsent(call, "the call is no longer to be sent")
         else:
             self.counters.add("engine_calls")
             connection.send(call)
 
-    def _not_sent(self, call: Call, why: str) -> None:
-        """Told in a turn of its own: the caller must have its call before the end of it."""
-        self.clock.callLater(0, call.fail, CallNotSentError(why))
+    def _fail_unsent(self, call: Call, reason: str) -> None:
+        """Fails a call in a later reactor turn: the caller must have received the call object before."""
+        self.clock.callLater(0, call.fail, CallNotSentError(reason))
 
     def has_established_connection(self, engine: str) -> bool:
-        """Whether one is up: a process that has died has reset all of its connections."""
+        """Whether a connection to the engine is established.
+
+        False for an engine whose process has died, since that resets all of its connections.
+        """
         return engine in self._established
 
-    def connected(self, connection: EngineConnection, call: Call) -> None:
+    def connection_established(self, connection: EngineConnection, call: Call) -> None:
+        """Sends the call that the connection was opened for, then waiting calls."""
         self._established[connection.engine] = self._established.get(connection.engine, 0) + 1
-        self._start(connection, call)
+        self._send(connection, call)
         self.dispatch_waiting()
 
-    def connect_failed(self, call: Call, refused: bool) -> None:
+    def connection_failed(self, call: Call, refused: bool) -> None:
+        """Fails the call that the connection was to be opened for, then dispatches waiting calls."""
         self.open_connections -= 1
         self.counters.add("engine_connects_refused" if refused else "engine_connects_failed")
         call.fail(ConnectError(refused))
         self.dispatch_waiting()
 
-    def free(self, connection: EngineConnection) -> None:
+    def release(self, connection: EngineConnection) -> None:
+        """Returns a connection to the pool, or aborts it if its engine's address has changed meanwhile."""
         if self.directory.address(connection.engine) != connection.address:
-            connection.drop()  # the engine has gone or moved while it was in use
+            connection.abort()
             return
         connection.idle_since = self.clock.seconds()
         self._idle.setdefault(connection.engine, deque()).append(connection)
 
-    def lost(self, connection: EngineConnection) -> None:
+    def connection_closed(self, connection: EngineConnection) -> None:
+        """Removes a connection and dispatches waiting calls in a later reactor turn."""
         self.open_connections -= 1
         self._established[connection.engine] -= 1
         if not self._established[connection.engine]:
@@ -347,27 +403,30 @@
             idle.remove(connection)
         self.clock.callLater(0, self.dispatch_waiting)
 
-    def _close_oldest(self) -> bool:
-        """Make room for another engine's call."""
-        oldest = min((idle[0] for idle in self._idle.values() if idle), key=_idle_since, default=None)
-        if oldest is not None:
-            oldest.drop()
-        return oldest is not None
+    def _evict_longest_idle(self) -> bool:
+        """Aborts the connection that has been idle the longest, of any engine; False if none is idle."""
+        longest_idle = min((idle[0] for idle in self._idle.values() if idle), key=_idle_since, default=None)
+        if longest_idle is not None:
+            longest_idle.abort()
+        return longest_idle is not None
 
     def close_idle(self, engine: str) -> None:
+        """Aborts the idle connections to one engine."""
         for connection in list(self._idle.pop(engine, ())):
-            connection.drop()
+            connection.abort()
 
     def close_all_idle(self) -> None:
+        """Aborts the idle connections to all engines."""
         for engine in list(self._idle):
             self.close_idle(engine)
 
-    def _close_old(self) -> None:
-        before = self.clock.seconds() - self.idle_limit
+    def _close_expired_idle(self) -> None:
+        """Aborts the connections that have been idle for longer than the idle timeout."""
+        idle_before = self.clock.seconds() - self.idle_timeout
         for idle in self._idle.values():
-            while idle and idle[0].idle_since <= before:
-                idle[0].drop()
-        self._sweep = self.clock.callLater(SWEEP_INTERVAL_S, self._close_old)
+            while idle and idle[0].idle_since <= idle_before:
+                idle[0].abort()
+        self._sweep = self.clock.callLater(SWEEP_INTERVAL_S, self._close_expired_idle)
 
 
 def _idle_since(connection: EngineConnection) -> float:
--- a/micahold/transport/channel.py
+++ b/micahold/transport/channel.py
@@ -1,4 +1,4 @@
-"""The command channel: server-sent events over one HTTP answer that lasts, resumed from the cursor."""
+"""The command channel: server-sent events over one long-lived HTTP response, resumed from a cursor."""
 
 from __future__ import annotations
 
@@ -14,84 +14,92 @@
 from micahold.protocol.event_stream import EventStream, ServerEvent
 from micahold.protocol.http_messages import MOST_HEAD, ChunkReader, encode_request, is_chunked, parse_head
 
-PATH = b"/cmd/next"
-SILENCE_TIMEOUT_S = 2.5  # a comment comes each second: two missed in a row end the connection
-CONNECT_S = 1.0
-PAUSE_S, MAX_RECONNECT_DELAY_S = (
-    0.05,
-    0.4,
-)  # between connections that fail or end soon; else the next is at once
+CHANNEL_PATH = b"/cmd/next"
+# The server sends a comment every second; the connection is dropped after two missed in a row.
+SILENCE_TIMEOUT_S = 2.5
+CONNECT_TIMEOUT_S = 1.0
+# Backoff between connections that fail or end early: doubles from the first value up to the second. After a
+# stable connection, the next attempt follows immediately.
+INITIAL_RECONNECT_DELAY_S = 0.05
+MAX_RECONNECT_DELAY_S = 0.4
+# A connection that has lasted this long is stable and resets the backoff.
 STABLE_CONNECTION_S = 0.5
-MOST_DIGITS = 18  # of an event's number
+MAX_EVENT_NUMBER_DIGITS = 18
 
 
-class _Stream(Protocol):
-    """One connection of the channel."""
+class _EventStreamConnection(Protocol):
+    """One connection of the channel: sends the request and parses the event stream of the response."""
 
     def __init__(self, channel: CommandChannel) -> None:
         self.channel = channel
-        self._kept = bytearray()
+        self._buffer = bytearray()
         self._chunks: ChunkReader | None = None
         self._in_body = False
         self._events = EventStream()
-        self._silence: Any = None
-        self.since = channel.clock.seconds()
+        self._silence_timer: Any = None
+        self.created_at = channel.clock.seconds()
 
     def connectionMade(self) -> None:
         transport: Any = self.transport
         transport.setTcpNoDelay(True)
         headers = ((b"Accept", b"text/event-stream"), (b"Last-Event-ID", b"%d" % self.channel.cursor))
-        transport.write(encode_request(b"GET", PATH, self.channel.host, headers))
-        self._silence = self.channel.clock.callLater(SILENCE_TIMEOUT_S, self._silent)
+        transport.write(encode_request(b"GET", CHANNEL_PATH, self.channel.host, headers))
+        self._silence_timer = self.channel.clock.callLater(SILENCE_TIMEOUT_S, self._handle_silence)
 
     def dataReceived(self, data: bytes) -> None:
-        self._silence.reset(SILENCE_TIMEOUT_S)
+        self._silence_timer.reset(SILENCE_TIMEOUT_S)
         try:
             self._read(data)
-        except ProtocolError as problem:
-            self.channel.log("channel_unreadable", error=str(problem))
+        except ProtocolError as error:
+            self.channel.log("channel_unreadable", error=str(error))
             self.abort()
 
     def _read(self, data: bytes) -> None:
-        self._kept += data
+        """Parses the response head, then delivers events; raises ``ProtocolError`` on unusable data."""
+        self._buffer += data
         if not self._in_body:
-            end = self._kept.find(b"\r\n\r\n")
-            if end > MOST_HEAD or (end < 0 and len(self._kept) > MOST_HEAD):
+            end = self._buffer.find(b"\r\n\r\n")
+            if end > MOST_HEAD or (end < 0 and len(self._buffer) > MOST_HEAD):
                 raise ProtocolError("a head that is too long")
             if end < 0:
                 return
-            status, headers, _ = parse_head(bytes(self._kept[:end]))
+            status, headers, _ = parse_head(bytes(self._buffer[:end]))
             if status != 200:
                 raise ProtocolError(f"status {status}")
-            del self._kept[: end + 4]
+            del self._buffer[: end + 4]
             self._in_body = True
             self._chunks = ChunkReader() if is_chunked(headers) else None
         if self._chunks is not None:
-            data = self._chunks.take(self._kept)
+            data = self._chunks.take(self._buffer)
         else:
-            data = bytes(self._kept)
-            self._kept.clear()
+            data = bytes(self._buffer)
+            self._buffer.clear()
         for event in self._events.feed(data):
-            self.channel.heard(self, event)
+            self.channel.event_received(self, event)
         if self._chunks is not None and self._chunks.whole:
             self.abort()
 
-    def _silent(self) -> None:
+    def _handle_silence(self) -> None:
         self.channel.log("channel_silent")
         self.abort()
 
     def abort(self) -> None:
+        """Closes the connection with a TCP reset."""
         transport: Any = self.transport
         transport.abortConnection()
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
-        if self._silence is not None and self._silence.active():
-            self._silence.cancel()
-        self.channel.ended(self)
+        if self._silence_timer is not None and self._silence_timer.active():
+            self._silence_timer.cancel()
+        self.channel.connection_ended(self)
 
 
 class CommandChannel(ClientFactory):
-    """Keeps one stream up and tells of each event once, in order."""
+    """Keeps one event stream connected and delivers each event once, in order.
+
+    ``on_event`` is called with the data of each event whose number is above ``cursor``. It returns False for
+    data that it can't parse.
+    """
 
     noisy = False
 
@@ -100,87 +108,106 @@
         clock: Any,
         address: tuple[str, int],
         cursor: int,
-        tell: Callable[[bytes], bool],
+        on_event: Callable[[bytes], bool],
         counters: Counters,
         log: Callable[..., None],
     ) -> None:
-        self.clock, self.address, self.cursor = clock, address, cursor
-        self.tell, self.counters, self.log = tell, counters, log
-        self._pause = 0.0
+        self.clock = clock
+        self.address = address
+        self.cursor = cursor
+        self.on_event = on_event
+        self.counters = counters
+        self.log = log
+        self._reconnect_delay = 0.0
         self._stopped = False
-        self._stream: _Stream | None = None
+        self._connection: _EventStreamConnection | None = None
         self._connector: Any = None
-        self._next: Any = None
-        self._spoilt = -1  # number of the event that could not be read the last time
+        self._reconnect_call: Any = None
+        self._last_unreadable = -1  # number of the last event that could not be parsed
 
     @property
     def host(self) -> bytes:
+        """Value of the Host header."""
         return b"%s:%d" % (self.address[0].encode(), self.address[1])
 
     def start(self) -> None:
-        self._next = None
+        """Connects to the current address."""
+        self._reconnect_call = None
         self.counters.add("channel_connects")
-        self._connector = self.clock.connectTCP(*self.address, self, timeout=CONNECT_S)
+        self._connector = self.clock.connectTCP(*self.address, self, timeout=CONNECT_TIMEOUT_S)
 
     def stop(self) -> None:
+        """Closes the connection for good."""
         self._stopped = True
-        if self._next is not None and self._next.active():
-            self._next.cancel()
-        if self._stream is not None:
-            self._stream.abort()
+        if self._reconnect_call is not None and self._reconnect_call.active():
+            self._reconnect_call.cancel()
+        if self._connection is not None:
+            self._connection.abort()
 
     def change_address(self, address: tuple[str, int]) -> None:
-        """A new address: at once, on from the cursor; what the old connection still says is not heard.
+        """Connects to a new address at once and resumes from the cursor.
 
-        Guards against drains learned late: the old address may stay open and tell nothing more.
+        Data that still arrives on the old connection is ignored. Without this, drains could be received late:
+        the server at the old address may keep the connection open and send no more events.
         """
         if address == self.address or self._stopped:
             return
-        self.address, self._pause = address, 0.0
+        self.address = address
+        self._reconnect_delay = 0.0
         self.counters.add("channel_moves")
-        stream, self._stream = self._stream, None
-        if stream is not None:
-            stream.abort()
-        elif self._next is not None:
-            self._next.cancel()
+        connection = self._connection
+        self._connection = None
+        if connection is not None:
+            connection.abort()
+        elif self._reconnect_call is not None:
+            self._reconnect_call.cancel()
         else:
-            self._connector.stopConnecting()  # and with it the wait for the old address
+            # Ends the attempt on the old address; its failure callback then connects to the new one.
+            self._connector.stopConnecting()
             return
         self.start()
 
-    def buildProtocol(self, addr: IAddress | None) -> _Stream:
-        self._stream = _Stream(self)
-        return self._stream
+    def buildProtocol(self, addr: IAddress | None) -> _EventStreamConnection:
+        self._connection = _EventStreamConnection(self)
+        return self._connection
 
-    def heard(self, stream: _Stream, event: ServerEvent) -> None:
-        """Repeated and older events are passed over, and the number only moves forward.
+    def event_received(self, connection: _EventStreamConnection, event: ServerEvent) -> None:
+        """Delivers an event and advances the cursor; ignores events that are repeated, older or unnumbered.
 
-        An event that can't be read is asked for once more: it may have been spoilt on its way.
+        An event that can't be parsed may have been corrupted in transit: ``ProtocolError`` makes the channel
+        reconnect and request it once more. If it fails again, the cursor moves past it.
         """
-        if stream is not self._stream or not event.id.isdigit() or len(event.id) > MOST_DIGITS:
+        if (
+            connection is not self._connection
+            or not event.id.isdigit()
+            or len(event.id) > MAX_EVENT_NUMBER_DIGITS
+        ):
             return
         number = int(event.id)
         if number <= self.cursor:
             return
-        if not self.tell(event.data) and number != self._spoilt:
-            self._spoilt = number
+        if not self.on_event(event.data) and number != self._last_unreadable:
+            self._last_unreadable = number
             raise ProtocolError(f"event {number}")
         self.cursor = number
         self.counters.add("channel_events")
 
     def clientConnectionFailed(self, connector: Any, reason: Failure) -> None:
-        self._again()
+        self._schedule_reconnect()
 
-    def ended(self, stream: _Stream) -> None:
-        if stream is not self._stream:
-            return  # left behind by a change of address
-        self._stream = None
-        if self.clock.seconds() - stream.since >= STABLE_CONNECTION_S:
-            self._pause = 0.0
-        self._again()
+    def connection_ended(self, connection: _EventStreamConnection) -> None:
+        """Schedules the next connection, unless a change of address has already replaced this one."""
+        if connection is not self._connection:
+            return
+        self._connection = None
+        if self.clock.seconds() - connection.created_at >= STABLE_CONNECTION_S:
+            self._reconnect_delay = 0.0
+        self._schedule_reconnect()
 
-    def _again(self) -> None:
+    def _schedule_reconnect(self) -> None:
         if self._stopped:
             return
-        self._next = self.clock.callLater(self._pause, self.start)
-        self._pause = min(MAX_RECONNECT_DELAY_S, self._pause * 2 or PAUSE_S)
+        self._reconnect_call = self.clock.callLater(self._reconnect_delay, self.start)
+        self._reconnect_delay = min(
+            MAX_RECONNECT_DELAY_S, self._reconnect_delay * 2 or INITIAL_RECONNECT_DELAY_S
+        )
--- a/micahold/transport/directory.py
+++ b/micahold/transport/directory.py
@@ -1,4 +1,4 @@
-"""Where each engine listens and what the list last said of it, by engine id: addresses are reused."""
+"""Address and state of each engine from the engine list, by engine id, since addresses are reused."""
 
 from __future__ import annotations
 
@@ -7,30 +7,43 @@
 
 
 class EngineDirectory:
-    """Addresses and states of the engines that have not gone; ids are ever new, so no other is kept."""
+    """Addresses and states of all engines except those that are gone.
+
+    Engine ids are never reused, so entries of engines that are gone need not be kept.
+    """
 
     def __init__(self) -> None:
         self._addresses: dict[str, tuple[str, int]] = {}
         self._states: dict[str, EngineState] = {}
 
     def update(self, news: ListNews) -> list[str]:
-        """Takes one event of the list; answers with the engines that are gone by it or have moved."""
-        listed = dict(self._addresses)
+        """Applies an event of the engine list; returns the engines that are gone or have a new address."""
+        old_addresses = dict(self._addresses)
         if news.update.kind in (ListKind.FULL, ListKind.RESTORED):
             self._states.clear()
         for entry in news.update.entries:
             self._states[entry.engine] = entry.state
         self._addresses.update(news.addresses)
-        self._states = {one: state for one, state in self._states.items() if state is not EngineState.GONE}
-        self._addresses = {one: place for one, place in self._addresses.items() if one in self._states}
-        return [engine for engine, before in listed.items() if before != self._addresses.get(engine)]
+        self._states = {
+            engine_id: state for engine_id, state in self._states.items() if state is not EngineState.GONE
+        }
+        self._addresses = {
+            engine_id: address for engine_id, address in self._addresses.items() if engine_id in self._states
+        }
+        return [
+            engine
+            for engine, old_address in old_addresses.items()
+            if old_address != self._addresses.get(engine)
+        ]
 
     def accepts_queries(self, engine: str) -> bool:
+        """Whether the engine is up, not draining, and has a known address."""
         return self._states.get(engine) is EngineState.UP and engine in self._addresses
 
     def address(self, engine: str) -> tuple[str, int] | None:
-        """None once it has gone: another engine may listen there by now."""
+        """Host and port of the engine; None if it is gone, as another engine may use its address by now."""
         return self._addresses.get(engine)
 
     def __len__(self) -> int:
+        """Number of engines that are up or draining."""
         return len(self._states)
