--- a/micahold/transport/clients.py
+++ b/micahold/transport/clients.py
@@ -1,7 +1,7 @@
-"""Sessions of clients: the MySQL protocol on one connection, one query at a time.
+"""Client sessions: the server side of the MySQL protocol on one connection, one query at a time.
 
-Every wait for a client has an end: ``due`` is when a session must have moved on. What clients have sent and
-is not worked off yet is bounded for each session and for all of them together.
+Every wait for a client has a time limit, ``ClientSession.timeout_at``. Received data that is not processed
+yet is bounded for each session and for all sessions together.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 from hashlib import blake2b
 from math import inf
 from typing import Any
-from typing import Protocol as Interface
+from typing import Protocol as TypingProtocol
 
 from twisted.internet.interfaces import IAddress, IPushProducer
 from twisted.internet.protocol import Protocol, ServerFactory, connectionDone
@@ -23,172 +23,215 @@
 from micahold.protocol.mysql_packets import PacketReader, encode_packet
 from micahold.protocol.query_fields import ClientQuery, kill_target, parse_query
 
-USER, DATABASE = b"app", b"dw"
-COM_QUIT, COM_INIT_DB, COM_QUERY, COM_PING = 0x01, 0x02, 0x03, 0x0E
-MAX_PACKET_BYTES = 64 * 1024
-MAX_SESSION_BUFFER_BYTES = MAX_PACKET_BYTES + 64 * 1024  # what a client may send while its query is open
+USER = b"app"
+DATABASE = b"dw"
 
-SWEEP_INTERVAL_S = 0.25  # how often sessions are looked through for what is due
-FIRST_QUERY_S = 2.0  # from the connection to the first whole command: clients write login and query at once
-PACKET_TIMEOUT_S = 2.0  # from the first byte of a packet to its last
-IDLE_TIMEOUT_S = (
-    5.0  # without a query: clients close idle connections after 4 s, and who does not must make room
-)
-CLOSE_TIMEOUT_S = 1.0  # for what was sent last to be read, when closing
-MIN_EVICTION_AGE_S = 0.02  # a connection younger than this is not closed to make room for another
-MAX_UNUSABLE_QUERIES = 3  # queries of one session that can't be used
+COM_QUIT = 0x01
+COM_INIT_DB = 0x02
+COM_QUERY = 0x03
+COM_PING = 0x0E
 
-TOO_MANY_CONNECTIONS, BAD_HANDSHAKE, NO_SUCH_DATABASE, ACCESS_DENIED = 1040, 1043, 1049, 1045
-UNKNOWN_COMMAND, SHUTDOWN, SYNTAX, NO_SUCH_THREAD = 1047, 1053, 1064, 1094
-FAILED, TOO_LARGE, LIMIT_REACHED, INTERRUPTED = 1105, 1153, 1226, 1317
-OUT_OF_ORDER, READ_TIMEOUT = 1156, 1159
+MAX_PACKET_BYTES = 64 * 1024
+# Received data of one session that is not processed yet: a client may send this much while its query is open.
+MAX_SESSION_BUFFER_BYTES = MAX_PACKET_BYTES + 64 * 1024
+
+# Interval between checks for sessions that have timed out.
+SWEEP_INTERVAL_S = 0.25
+# From the connection to the first whole command; clients send the login and the first query together.
+FIRST_COMMAND_TIMEOUT_S = 2.0
+# From the first byte of a packet to its last.
+PACKET_TIMEOUT_S = 2.0
+# Without a query. Clients close idle connections after 4 s; a session that stays longer must make room.
+IDLE_TIMEOUT_S = 5.0
+# From closing a session until its connection is aborted if the client has not read the last bytes.
+CLOSE_TIMEOUT_S = 1.0
+# A session that has been without a query for less than this is not closed to make room for another.
+MIN_EVICTION_AGE_S = 0.02
+# A session with this many unusable queries is closed.
+MAX_UNUSABLE_QUERIES = 3
+
+# MySQL error codes under the names of the MySQL server.
+ER_CON_COUNT_ERROR = 1040
+ER_HANDSHAKE_ERROR = 1043
+ER_BAD_DB_ERROR = 1049
+ER_ACCESS_DENIED_ERROR = 1045
+ER_UNKNOWN_COM_ERROR = 1047
+ER_SERVER_SHUTDOWN = 1053
+ER_PARSE_ERROR = 1064
+ER_NO_SUCH_THREAD = 1094
+ER_UNKNOWN_ERROR = 1105
+ER_NET_PACKET_TOO_LARGE = 1153
+ER_USER_LIMIT_REACHED = 1226
+ER_QUERY_INTERRUPTED = 1317
+ER_NET_PACKETS_OUT_OF_ORDER = 1156
+ER_NET_READ_INTERRUPTED = 1159
 
 
 class UnusableQueryError(Exception):
-    """A query that can't be taken as it is; the text is for its client."""
+    """A query that is rejected as it stands; the text is sent to the client."""
 
 
-class QueryReply(Interface):
-    """Where the one final answer to a query goes."""
+class QueryReply(TypingProtocol):
+    """Receives the one final response to a query."""
 
-    def send_result(self, result: bytes) -> None: ...
+    def send_result(self, result: bytes) -> None:
+        """Sends a complete result set, already encoded as MySQL packets."""
+        ...
 
-    def refuse(self, retry_after: float) -> None: ...
+    def refuse(self, retry_after: float) -> None:
+        """Sends a refusal: the query may be retried after ``retry_after`` seconds; 0 gives no advice."""
+        ...
 
-    def fail(self, text: str) -> None: ...
+    def fail(self, text: str) -> None:
+        """Sends an error that does not say whether the query has run."""
+        ...
 
 
-class QueryHandler(Interface):
-    """Who answers for queries."""
+class QueryHandler(TypingProtocol):
+    """Accepts queries and is responsible for their responses."""
 
     def submit(self, query: ClientQuery, reply: QueryReply, waited: float) -> int:
-        """A ticket for the query, which is owed an answer from now on; or raises ``UnusableQueryError``.
+        """Accepts a query, which is owed a response from then on, and returns its number.
 
-        ``waited`` is how long the query may have lain unread; its wait counts from then.
+        ``waited`` is the time in seconds that the query may have been waiting to be read; it counts towards
+        the wait of the query. Raises ``UnusableQueryError`` for a query that can't be accepted.
         """
         ...
 
-    def drop(self, ticket: int) -> None:
-        """The client is gone; nothing is owed any more."""
+    def drop(self, query_number: int) -> None:
+        """Withdraws a query whose client no longer expects a response."""
         ...
 
 
 @implementer(IPushProducer)
 class ClientSession(Protocol):
-    """From greeting to the end of the connection."""
+    """One client connection, from the greeting to its end."""
 
     def __init__(self, sessions: ClientSessions, connection_id: int) -> None:
-        self.sessions, self.connection_id = sessions, connection_id
-        self.ticket: int | None = None
+        self.sessions = sessions
+        self.connection_id = connection_id
+        self.query_number: int | None = None  # the open query
         self._reader = PacketReader(MAX_PACKET_BYTES, MAX_SESSION_BUFFER_BYTES)
-        self._logged_in = self._choked = self._ended = self._is_used = False
-        self.made_at = float(sessions.clock.seconds())
-        self.due, self.idle_since = self.made_at + FIRST_QUERY_S, self.made_at
-        self._unusable = self._counted = 0
-        self._sequence = 0  # of the next packet that is sent
-        self._is_new = True  # nothing has been read yet
-        self._came_at = 0.0  # the earliest that what was read last can have come
+        self._logged_in = self._paused = self._closing = self._has_sent_command = False
+        self.connected_at = float(sessions.clock.seconds())
+        self.timeout_at = self.connected_at + FIRST_COMMAND_TIMEOUT_S
+        self.idle_since = self.connected_at
+        self._unusable_queries = self._counted_bytes = 0
+        self._sequence = 0  # of the next packet to send
+        self._nothing_read = True
+        self._arrived_at = 0.0  # earliest time at which the data read last can have arrived
 
-    # Bytes
+    # Connection and incoming data
 
     def connectionMade(self) -> None:
         transport: Any = self.transport
         transport.setTcpNoDelay(True)
         transport.registerProducer(self, True)
-        self._came_at = self._earliest()  # the first bytes may have come with the connection itself
-        if not self.sessions.admit(self):
-            self._send(error_payload(TOO_MANY_CONNECTIONS, "Too many connections"))
+        self._arrived_at = self._earliest_arrival()  # the first data may have arrived with the connection
+        if not self.sessions.register(self):
+            self._send(error_payload(ER_CON_COUNT_ERROR, "Too many connections"))
             self._close()
             return
         self._send(greeting(self.connection_id, self.sessions.scramble(self.connection_id)))
 
     def dataReceived(self, data: bytes) -> None:
-        if self._ended:
+        if self._closing:
             return
-        if data and not self._is_new:
-            self._came_at = self._earliest()
-        self._is_new = self._is_new and not data
+        if data and not self._nothing_read:
+            self._arrived_at = self._earliest_arrival()
+        self._nothing_read = self._nothing_read and not data
         try:
             self._reader.feed(data)
-            self._work()
-        except ProtocolError as problem:
+            self._process_packets()
+        except ProtocolError as error:
             self.sessions.counters.add("client_packets_bad")
-            self._end_with(TOO_LARGE, str(problem))
-        except Exception as problem:  # ends this session alone
-            self.sessions.log("session_error", error=repr(problem), connection=self.connection_id)
+            self._close_with_error(ER_NET_PACKET_TOO_LARGE, str(error))
+        except Exception as error:  # closes this session only
+            self.sessions.log("session_error", error=repr(error), connection=self.connection_id)
             self._close()
-        if not self._count_kept():
-            # Guards against many clients that each send a little less than one may.
+        if not self._update_buffered_bytes():
+            # Guards against many clients that each send a little less than the limit of one session.
             self.sessions.counters.add("client_memory_short")
-            self._end_with(TOO_LARGE, "no memory for this")
-        self._note_due()
+            self._close_with_error(ER_NET_PACKET_TOO_LARGE, "no memory for this")
+        self._update_timeout()
 
-    def _count_kept(self) -> bool:
-        """False where all sessions together keep more than they may, and this one adds to it."""
-        if self._ended:
+    def _update_buffered_bytes(self) -> bool:
+        """Updates the total of buffered bytes; False if it is over its limit and this session adds to it."""
+        if self._closing:
             self._reader.clear()
-        self.sessions.buffered_bytes += self._reader.kept - self._counted
-        self._counted = self._reader.kept
-        return not self._counted or self.sessions.buffered_bytes <= self.sessions.max_buffered_bytes
+        self.sessions.buffered_bytes += self._reader.kept - self._counted_bytes
+        self._counted_bytes = self._reader.kept
+        return not self._counted_bytes or self.sessions.buffered_bytes <= self.sessions.max_buffered_bytes
 
-    def _note_due(self) -> None:
-        """When this session must have moved on; a packet that comes byte by byte wins no time by that."""
-        if self._ended:
+    def _update_timeout(self) -> None:
+        """Sets the time limit for the client's next step.
+
+        Within a packet the limit is never extended, so sending it byte by byte gains no time. There is no
+        limit while a query is open.
+        """
+        if self._closing:
             return
         now = float(self.sessions.clock.seconds())
-        if self.ticket is not None:
-            self.due = inf
-        elif self._reader.kept and not self._choked:
-            self.due = min(self.due, now + PACKET_TIMEOUT_S)
-        elif self._is_used:
-            self.due, self.idle_since = now + IDLE_TIMEOUT_S, now
-
-    def overdue(self) -> None:
-        """Guards against clients that say nothing, stop within a packet, stay for good or do not read."""
-        if self._ended:
+        if self.query_number is not None:
+            self.timeout_at = inf
+        elif self._reader.kept and not self._paused:
+            self.timeout_at = min(self.timeout_at, now + PACKET_TIMEOUT_S)
+        elif self._has_sent_command:
+            self.timeout_at = now + IDLE_TIMEOUT_S
+            self.idle_since = now
+
+    def handle_timeout(self) -> None:
+        """Closes the session at its time limit, or aborts the connection if it is being closed already.
+
+        Guards against clients that send nothing, stop within a packet, never disconnect or do not read.
+        """
+        if self._closing:
             self.abort()
-        elif self._is_used and not self._reader.kept:
+        elif self._has_sent_command and not self._reader.kept:
             self.sessions.counters.add("client_sessions_idle")
             self._close()
         else:
             self.sessions.counters.add("client_sessions_silent")
-            self._end_with(READ_TIMEOUT, "Got timeout reading communication packets")
+            self._close_with_error(ER_NET_READ_INTERRUPTED, "Got timeout reading communication packets")
 
-    def gives_way(self, now: float) -> bool:
-        """May be closed to make room: nothing is open on it, and it has had its time to ask."""
-        return self.ticket is None and not self._ended and now >= self.idle_since + MIN_EVICTION_AGE_S
+    def is_evictable(self, now: float) -> bool:
+        """Whether the session may be closed to make room: no query is open and there was time to send one."""
+        return self.query_number is None and not self._closing and now >= self.idle_since + MIN_EVICTION_AGE_S
 
     @property
-    def is_used(self) -> bool:
-        return self._is_used
+    def has_sent_command(self) -> bool:
+        """Whether the client has sent a command since its login."""
+        return self._has_sent_command
 
-    def _end_with(self, code: int, text: str) -> None:
-        if self._ended:
+    def _close_with_error(self, code: int, text: str) -> None:
+        """Closes the session; the error is sent only if no query is open."""
+        if self._closing:
             return
-        if self.ticket is None:
+        if self.query_number is None:
             self._sequence = self._sequence or 1
             self._send(error_payload(code, text))
         self._close()
 
-    def _earliest(self) -> float:
+    def _earliest_arrival(self) -> float:
+        """The earliest time at which the data being read now can have arrived."""
         return float(self.sessions.clock.seconds()) - self.sessions.unread_for()
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
-        self._ended = True
-        self._count_kept()
-        self.sessions.leave(self)
+        self._closing = True
+        self._update_buffered_bytes()
+        self.sessions.unregister(self)
         self._drop_query()
 
     def pauseProducing(self) -> None:
-        """The client reads slowly: what it asks for next waits until it has read."""
-        self._choked = True
+        """Called when the send buffer is full: further commands wait until the client has read."""
+        self._paused = True
 
     def resumeProducing(self) -> None:
-        self._choked = False
+        self._paused = False
         self.sessions.clock.callLater(0, self.dataReceived, b"")
 
     def stopProducing(self) -> None:
-        self._choked = True
+        self._paused = True
 
     def _send(self, *payloads: bytes) -> None:
         transport: Any = self.transport
@@ -197,140 +240,151 @@
             self._sequence += 1
 
     def _close(self) -> None:
-        """After what was sent has gone out."""
-        self._ended = True
-        self._count_kept()
+        """Drops the open query and closes the connection after pending data is sent."""
+        self._closing = True
+        self._update_buffered_bytes()
         self._drop_query()
-        self.due = float(self.sessions.clock.seconds()) + CLOSE_TIMEOUT_S
+        self.timeout_at = float(self.sessions.clock.seconds()) + CLOSE_TIMEOUT_S
         transport: Any = self.transport
         transport.unregisterProducer()
         transport.loseConnection()
 
     def close_if_idle(self) -> None:
-        if self.ticket is None and not self._ended:
+        """Closes the session if no query is open."""
+        if self.query_number is None and not self._closing:
             self._close()
 
     def abort(self) -> None:
+        """Closes the connection with a TCP reset; pending data is discarded."""
         transport: Any = self.transport
         transport.abortConnection()
 
     # Packets
 
-    def _work(self) -> None:
-        while self.ticket is None and not self._choked and not self._ended:
+    def _process_packets(self) -> None:
+        """Handles the packets received so far, until a query is open or the client must read first."""
+        while self.query_number is None and not self._paused and not self._closing:
             packet = self._reader.next()
             if packet is None:
                 return
             sequence, payload = packet
             if sequence != (0 if self._logged_in else 1):
                 self.sessions.counters.add("client_packets_bad")
-                self._end_with(OUT_OF_ORDER, "Got packets out of order")
+                self._close_with_error(ER_NET_PACKETS_OUT_OF_ORDER, "Got packets out of order")
                 return
             self._sequence = sequence + 1
             if self._logged_in:
-                self._is_used = True
-                self._command(payload)
+                self._has_sent_command = True
+                self._handle_command(payload)
             else:
-                self._log_in(payload)
+                self._handle_login(payload)
 
-    def _log_in(self, payload: bytes) -> None:
+    def _handle_login(self, payload: bytes) -> None:
         try:
             login = parse_login(payload)
-        except ProtocolError as problem:
-            self._send(error_payload(BAD_HANDSHAKE, str(problem)))
+        except ProtocolError as error:
+            self._send(error_payload(ER_HANDSHAKE_ERROR, str(error)))
             self._close()
             return
         if login.user != USER or login.password:
-            self._send(error_payload(ACCESS_DENIED, "Access denied"))
+            self._send(error_payload(ER_ACCESS_DENIED_ERROR, "Access denied"))
             self._close()
         elif login.database not in (b"", DATABASE):
-            self._send(error_payload(NO_SUCH_DATABASE, "Unknown database"))
+            self._send(error_payload(ER_BAD_DB_ERROR, "Unknown database"))
             self._close()
         else:
             self._logged_in = True
             self._send(ok_payload())
 
-    def _command(self, payload: bytes) -> None:
-        command, argument = payload[:1], payload[1:]
+    def _handle_command(self, payload: bytes) -> None:
+        command = payload[:1]
+        argument = payload[1:]
         if command == bytes((COM_QUERY,)):
-            self._query(argument)
+            self._handle_query(argument)
         elif command == bytes((COM_PING,)):
             self._send(ok_payload())
         elif command == bytes((COM_QUIT,)):
             self._close()
         elif command == bytes((COM_INIT_DB,)):
             known = argument == DATABASE
-            self._send(ok_payload() if known else error_payload(NO_SUCH_DATABASE, "Unknown database"))
+            self._send(ok_payload() if known else error_payload(ER_BAD_DB_ERROR, "Unknown database"))
         else:
-            self._send(error_payload(UNKNOWN_COMMAND, "Unknown command"))
+            self._send(error_payload(ER_UNKNOWN_COM_ERROR, "Unknown command"))
 
-    def _query(self, text: bytes) -> None:
+    def _handle_query(self, text: bytes) -> None:
+        """Executes a KILL QUERY, or submits the query to the handler."""
         target = kill_target(text)
         if target is not None:
-            known = self.sessions.kill(target)
+            known = self.sessions.kill_query(target)
             self._send(
-                ok_payload() if known else error_payload(NO_SUCH_THREAD, f"Unknown thread id: {target}")
+                ok_payload() if known else error_payload(ER_NO_SUCH_THREAD, f"Unknown thread id: {target}")
             )
             return
         self.sessions.counters.add("queries_received")
         try:
-            waited = float(self.sessions.clock.seconds()) - self._came_at
-            self.ticket = self.sessions.handler.submit(parse_query(text), self, waited)
-        except ProtocolError as problem:
-            self._unusable_query(SYNTAX, str(problem))
-        except UnusableQueryError as problem:
-            self._unusable_query(FAILED, str(problem))
-
-    def _unusable_query(self, code: int, why: str) -> None:
-        """An error at once; a session that goes on like that ends, since each costs as much as a good one."""
+            waited = float(self.sessions.clock.seconds()) - self._arrived_at
+            self.query_number = self.sessions.handler.submit(parse_query(text), self, waited)
+        except ProtocolError as error:
+            self._reject_query(ER_PARSE_ERROR, str(error))
+        except UnusableQueryError as error:
+            self._reject_query(ER_UNKNOWN_ERROR, str(error))
+
+    def _reject_query(self, code: int, reason: str) -> None:
+        """Sends an error at once, and closes the session after MAX_UNUSABLE_QUERIES.
+
+        An unusable query costs as much work as a good one, so a session must not go on sending them.
+        """
         self.sessions.counters.add("queries_unusable")
-        self.sessions.counters.add("unusable_" + why.replace(" ", "_"))
-        self._unusable += 1
-        self._send(error_payload(code, why))
-        if self._unusable >= MAX_UNUSABLE_QUERIES:
+        self.sessions.counters.add("unusable_" + reason.replace(" ", "_"))
+        self._unusable_queries += 1
+        self._send(error_payload(code, reason))
+        if self._unusable_queries >= MAX_UNUSABLE_QUERIES:
             self._close()
 
-    def killed(self) -> bool:
-        """KILL QUERY named this session; False where no query is open."""
-        if self.ticket is None:
+    def interrupt_query(self) -> bool:
+        """Ends the open query on a KILL QUERY for this session; False if no query is open."""
+        if self.query_number is None:
             return False
         self._drop_query()
-        self._answer_error(INTERRUPTED, "Query execution was interrupted")
+        self._send_final_error(ER_QUERY_INTERRUPTED, "Query execution was interrupted")
         return True
 
     def _drop_query(self) -> None:
-        if self.ticket is not None:
-            ticket, self.ticket = self.ticket, None
-            self.sessions.handler.drop(ticket)
+        if self.query_number is not None:
+            query_number = self.query_number
+            self.query_number = None
+            self.sessions.handler.drop(query_number)
 
-    # The final answer
+    # The final response to a query (QueryReply)
 
     def send_result(self, result: bytes) -> None:
-        self._answer(result)
+        self._send_final(result)
 
     def refuse(self, retry_after: float) -> None:
         hint = f"after={round(retry_after * 1000)}" if retry_after > 0 else "try again"
-        self._answer_error(LIMIT_REACHED, hint)
+        self._send_final_error(ER_USER_LIMIT_REACHED, hint)
 
     def fail(self, text: str) -> None:
-        self._answer_error(FAILED, text)
+        self._send_final_error(ER_UNKNOWN_ERROR, text)
 
-    def _answer_error(self, code: int, text: str) -> None:
-        self._answer(encode_packet(self._sequence, error_payload(code, text)))
+    def _send_final_error(self, code: int, text: str) -> None:
+        self._send_final(encode_packet(self._sequence, error_payload(code, text)))
 
-    def _answer(self, data: bytes) -> None:
-        self.ticket = None
-        if not self._ended:
+    def _send_final(self, data: bytes) -> None:
+        """Sends the response to the open query and resumes the processing of packets."""
+        self.query_number = None
+        if not self._closing:
             transport: Any = self.transport
             transport.write(data)
-            self._note_due()
+            self._update_timeout()
             if self._reader.kept:
-                # What came meanwhile is read in a turn of its own, after this answer's batch.
+                # Packets that arrived meanwhile are processed in a later reactor turn, after the batch of
+                # actions that this response belongs to.
                 self.sessions.clock.callLater(0, self.dataReceived, b"")
 
 
 class ClientSessions(ServerFactory):
-    """All sessions by connection id; ids begin at a point drawn from the seed."""
+    """All sessions by connection id; ids start at a value derived from the seed."""
 
     noisy = False
 
@@ -345,87 +399,100 @@
         unread_for: Callable[[], float] = lambda: 0.0,
         max_buffered_bytes: int = 4 * 1024 * 1024,
     ) -> None:
+        """``unread_for`` returns for how many seconds the data being read now may have been waiting."""
         self.unread_for = unread_for
-        self.buffered_bytes, self.max_buffered_bytes = (
-            0,
-            max_buffered_bytes,
-        )  # bytes of all sessions that are not worked off yet
+        self.buffered_bytes = 0  # received by all sessions together and not processed yet
+        self.max_buffered_bytes = max_buffered_bytes
         self._next_sweep = 0.0
-        self.clock, self.handler, self.counters, self.log, self.max_sessions = (
-            clock,
-            handler,
-            counters,
-            log,
-            max_sessions,
-        )
+        self.clock = clock
+        self.handler = handler
+        self.counters = counters
+        self.log = log
+        self.max_sessions = max_sessions
         self._salt = seed.to_bytes(8, "little", signed=False)
-        # A KILL QUERY with an id of an earlier start must hit nobody: starts lie far apart.
+        # A KILL QUERY with an id from before a restart must not hit another session, so the ids of different
+        # seeds start far apart.
         self._last_id = int.from_bytes(blake2b(self._salt, digest_size=4).digest(), "little")
         self._sessions: dict[int, ClientSession] = {}
 
     def startFactory(self) -> None:
-        self._sweep_later()
+        self._schedule_sweep()
 
-    def _end_overdue(self) -> None:
-        """After a stall of ours nobody is overdue yet: what they sent may have come and lie unread."""
+    def _close_timed_out(self) -> None:
+        """Closes timed-out sessions, except after a stall of the front.
+
+        The data of their clients may have arrived during the stall and be unread.
+        """
         now = float(self.clock.seconds())
         if now < self._next_sweep + SWEEP_INTERVAL_S:
-            for session in [one for one in self._sessions.values() if one.due <= now]:
-                session.overdue()
-        self._sweep_later()
+            for session in [entry for entry in self._sessions.values() if entry.timeout_at <= now]:
+                session.handle_timeout()
+        self._schedule_sweep()
 
-    def _sweep_later(self) -> None:
+    def _schedule_sweep(self) -> None:
         self._next_sweep = float(self.clock.seconds()) + SWEEP_INTERVAL_S
-        self.clock.callLater(SWEEP_INTERVAL_S, self._end_overdue)
+        self.clock.callLater(SWEEP_INTERVAL_S, self._close_timed_out)
 
     def buildProtocol(self, addr: IAddress | None) -> ClientSession:
         self._last_id = self._last_id % 0xFFFFFFFF + 1
         return ClientSession(self, self._last_id)
 
     def scramble(self, connection_id: int) -> bytes:
-        """20 bytes without a zero; with an empty password nothing rests on them."""
+        """The 20 bytes of the greeting's scramble, none of them zero.
+
+        It needs no secrecy, since only the empty password is accepted.
+        """
         digest = blake2b(self._salt + connection_id.to_bytes(4, "little"), digest_size=20).digest()
         return bytes(byte % 94 + 33 for byte in digest)
 
-    def admit(self, session: ClientSession) -> bool:
+    def register(self, session: ClientSession) -> bool:
+        """Adds a new session, evicting another if necessary; False if there is no room for it."""
         self.counters.add("client_connections")
-        if len(self._sessions) >= self.max_sessions and not self._make_room():
+        if len(self._sessions) >= self.max_sessions and not self._evict_session():
             self.counters.add("client_connections_turned_away")
             return False
         self._sessions[session.connection_id] = session
         self.counters.most("client_connections_open", len(self._sessions))
         return True
 
-    def _make_room(self) -> bool:
-        """Close the session that has been without a query the longest, those that never had one first.
+    def _evict_session(self) -> bool:
+        """Closes the session that has been without a query the longest; False if none is evictable.
 
-        Guards against clients that hold connections and ask nothing, so that others find no place.
+        Sessions that have never sent a command come first. Guards against clients that hold connections
+        without queries, so that others can't connect.
         """
         now = self.clock.seconds()
-        able = (one for one in self._sessions.values() if one.gives_way(now))
-        first = min(able, key=lambda one: (one.is_used, one.idle_since), default=None)
-        if first is None:
+        evictable = (session for session in self._sessions.values() if session.is_evictable(now))
+        oldest = min(
+            evictable, key=lambda session: (session.has_sent_command, session.idle_since), default=None
+        )
+        if oldest is None:
             return False
         self.counters.add("client_sessions_gave_way")
-        first.close_if_idle()
-        self.leave(first)
+        oldest.close_if_idle()
+        self.unregister(oldest)
         return True
 
-    def leave(self, session: ClientSession) -> None:
+    def unregister(self, session: ClientSession) -> None:
+        """Removes a session; has no effect if it is not registered."""
         self._sessions.pop(session.connection_id, None)
 
-    def kill(self, connection_id: int) -> bool:
+    def kill_query(self, connection_id: int) -> bool:
+        """Interrupts the open query of a session; False if there is no such session."""
         self.counters.add("client_kills")
         session = self._sessions.get(connection_id)
-        return session is not None and (session.killed() or True)
+        return session is not None and (session.interrupt_query() or True)
 
     def __len__(self) -> int:
+        """Number of open sessions."""
         return len(self._sessions)
 
     def close_idle(self) -> None:
+        """Closes all sessions without an open query."""
         for session in list(self._sessions.values()):
             session.close_if_idle()
 
     def abort_all(self) -> None:
+        """Aborts the connections of all sessions."""
         for session in list(self._sessions.values()):
             session.abort()
