--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -1,4 +1,4 @@
-"""Attempts on engines: each end is the outcome that the wire page defines, and comes once."""
+"""Tests of attempts on engines: each ends exactly once, with the outcome that the wire protocol defines."""
 
 from __future__ import annotations
 
@@ -21,56 +21,57 @@
 DELETE = b"DELETE /data/9b1f03aa5c7e2d41 HTTP/1.1\r\nHost: 127.0.0.1:4097\r\n\r\n"
 
 
-def get(number: int) -> bytes:
-    return b"GET /data/9b1f03aa5c7e2d41/%d HTTP/1.1\r\nHost: 127.0.0.1:4097\r\n\r\n" % number
+def get(page: int) -> bytes:
+    """The request for a page, or for the status (page 0)."""
+    return b"GET /data/9b1f03aa5c7e2d41/%d HTTP/1.1\r\nHost: 127.0.0.1:4097\r\n\r\n" % page
 
 
-def first_link(world: EngineSide) -> Link:
-    """The connection of the POST, with the POST written."""
-    link = world.links[0].up()
+def first_link(network: EngineSide) -> Link:
+    """Establishes the first connection, on which the POST is sent, and discards the POST."""
+    link = network.links[0].up()
     link.transport.clear()
     return link
 
 
-def test_the_post_holds_id_class_wait_token_and_the_statement_unchanged() -> None:
-    world = EngineSide()
-    world.start(token=b"5c0f")
-    sent = world.links[0].up().transport.sent()
+def test_post_carries_id_class_wait_token_and_the_unchanged_statement() -> None:
+    network = EngineSide()
+    network.start(token=b"5c0f")
+    sent = network.links[0].up().transport.sent()
     assert sent.startswith(b"POST /data HTTP/1.1\r\n")
     for line in (b"Via-Id: 9b1f03aa5c7e2d41", b"Via-Class: report", b"Via-Wait: 5000", b"Via-Token: 5c0f"):
         assert line + b"\r\n" in sent
     assert sent.endswith(b"\r\n\r\nSELECT 1")
 
 
-def test_a_result_is_read_whole_before_it_is_passed_on() -> None:
-    world = EngineSide()
-    _, ends = world.start()
-    link = first_link(world)
+def test_result_is_delivered_only_after_all_pages_are_read() -> None:
+    network = EngineSide()
+    _, results = network.start()
+    link = first_link(network)
     link.say(answer(200, PAGE, X_Sheets="3", Srv_Load="inflight:7;util:0.5"))
     assert link.transport.sent() == get(1)
     link.say(answer(200, PAGE * 2, X_Sheet="1"))
-    assert not ends
+    assert not results
     assert link.transport.sent() == get(2)
     link.say(answer(200, b"", X_Sheet="2"))
-    (end,) = ends
-    assert end.outcome is Outcome.OK
-    assert end.result_set is not None
-    assert read_result(end.result_set) == [(b"a", b"1", b"x")] * 3
-    assert end.load_report == b"inflight:7;util:0.5"
-    world.turn(10.0)
-    assert len(ends) == 1
+    (result,) = results
+    assert result.outcome is Outcome.OK
+    assert result.result_set is not None
+    assert read_result(result.result_set) == [(b"a", b"1", b"x")] * 3
+    assert result.load_report == b"inflight:7;util:0.5"
+    network.turn(10.0)
+    assert len(results) == 1
 
 
 @pytest.mark.parametrize("pages", ["0", "1"])
-def test_an_empty_result_is_a_good_end(pages: str) -> None:
-    world = EngineSide()
-    _, ends = world.start()
-    first_link(world).say(answer(200, b"", X_Sheets=pages))
-    assert [end.outcome for end in ends] == [Outcome.OK]
+def test_empty_result_ends_as_ok(pages: str) -> None:
+    network = EngineSide()
+    _, results = network.start()
+    first_link(network).say(answer(200, b"", X_Sheets=pages))
+    assert [result.outcome for result in results] == [Outcome.OK]
 
 
 @pytest.mark.parametrize(
-    ("data", "outcome"),
+    ("response", "outcome"),
     [
         (answer(503, Srv_Untouched="1"), Outcome.FULL),
         (answer(503), Outcome.ERROR),
@@ -80,15 +81,15 @@
         (answer(504), Outcome.TIMEOUT),
     ],
 )
-def test_answers_and_their_outcomes(data: bytes, outcome: Outcome) -> None:
-    world = EngineSide()
-    _, ends = world.start()
-    first_link(world).say(data)
-    assert [end.outcome for end in ends] == [outcome]
-    assert ends[0].result_set is None
+def test_response_status_determines_the_outcome(response: bytes, outcome: Outcome) -> None:
+    network = EngineSide()
+    _, results = network.start()
+    first_link(network).say(response)
+    assert [result.outcome for result in results] == [outcome]
+    assert results[0].result_set is None
 
 
-SPOILT = [
+UNREADABLE_RESPONSES = [
     answer(200, PAGE),
     answer(200, PAGE, X_Sheets="many"),
     answer(200, PAGE, X_Sheets=str(MAX_PAGES + 1)),
@@ -100,338 +101,341 @@
 ]
 
 
-@pytest.mark.parametrize("data", SPOILT)
-def test_a_spoilt_answer_is_asked_for_again_with_a_get_and_never_with_a_post(data: bytes) -> None:
-    world = EngineSide()
-    _, ends = world.start()
-    first_link(world).say(data)
-    world.turn()
-    assert not ends
-    again = world.links[1].up()
-    assert again.transport.sent() == get(0)
-    again.say(answer(200, PAGE, X_Sheets="1"))
-    assert [end.outcome for end in ends] == [Outcome.OK]
-    assert ends[0].result_set is not None and read_result(ends[0].result_set) == [(b"a", b"1", b"x")]
-    assert world.counters.values["attempts_saved"] == 1
-
-
-def test_answers_that_are_always_spoilt_end_as_an_error_once_the_query_is_given_up() -> None:
-    world = EngineSide()
-    _, ends = world.start(wait=30.0)
-    first_link(world).say(b"noise")
-    for at in range(1, MAX_UNREADABLE_RESPONSES + 1):
-        world.turn(MIN_POLL_INTERVAL_S)
-        again = world.links[at].up()
-        assert again.transport.sent() == get(0)
-        again.say(b"noise")
-    assert not ends
-    last = world.links[MAX_UNREADABLE_RESPONSES + 1].up()
-    assert last.transport.sent() == DELETE
-    last.say(answer(204))
-    assert [end.outcome for end in ends] == [Outcome.ERROR]
-    world.turn(10.0)
-    assert len(world.links) == MAX_UNREADABLE_RESPONSES + 2
-
-
-def test_a_post_that_is_never_answered_is_asked_about() -> None:
-    world = EngineSide()
-    _, ends = world.start()
-    link = first_link(world)
-    world.turn(RESPONSE_TIMEOUT_S)
-    world.turn(LATE_READ_GRACE_S)
+@pytest.mark.parametrize("response", UNREADABLE_RESPONSES)
+def test_unreadable_response_is_requested_again_with_get_and_never_with_post(response: bytes) -> None:
+    network = EngineSide()
+    _, results = network.start()
+    first_link(network).say(response)
+    network.turn()
+    assert not results
+    retry = network.links[1].up()
+    assert retry.transport.sent() == get(0)
+    retry.say(answer(200, PAGE, X_Sheets="1"))
+    assert [result.outcome for result in results] == [Outcome.OK]
+    assert results[0].result_set is not None and read_result(results[0].result_set) == [(b"a", b"1", b"x")]
+    assert network.counters.values["attempts_saved"] == 1
+
+
+def test_repeatedly_unreadable_responses_end_as_error_after_the_query_is_deleted() -> None:
+    network = EngineSide()
+    _, results = network.start(wait=30.0)
+    first_link(network).say(b"noise")
+    for index in range(1, MAX_UNREADABLE_RESPONSES + 1):
+        network.turn(MIN_POLL_INTERVAL_S)
+        retry = network.links[index].up()
+        assert retry.transport.sent() == get(0)
+        retry.say(b"noise")
+    assert not results
+    delete_link = network.links[MAX_UNREADABLE_RESPONSES + 1].up()
+    assert delete_link.transport.sent() == DELETE
+    delete_link.say(answer(204))
+    assert [result.outcome for result in results] == [Outcome.ERROR]
+    network.turn(10.0)
+    assert len(network.links) == MAX_UNREADABLE_RESPONSES + 2
+
+
+def test_unanswered_post_is_followed_by_a_status_poll() -> None:
+    network = EngineSide()
+    _, results = network.start()
+    link = first_link(network)
+    network.turn(RESPONSE_TIMEOUT_S)
+    network.turn(LATE_READ_GRACE_S)
     assert link.transport.aborted
-    world.turn()
-    world.links[1].up().say(answer(200, PAGE, X_Sheets="1"))
-    assert [end.outcome for end in ends] == [Outcome.OK]
-
-
-def test_a_query_that_an_engine_does_not_know_after_a_broken_post_is_given_up_before_it_is_told() -> None:
-    """The POST may still be on its way there: another attempt beside it would be a second copy."""
-    world = EngineSide()
-    _, ends = world.start()
-    first_link(world).lose()
-    world.turn()
-    link = world.links[1].up()
+    network.turn()
+    network.links[1].up().say(answer(200, PAGE, X_Sheets="1"))
+    assert [result.outcome for result in results] == [Outcome.OK]
+
+
+def test_query_unknown_to_the_engine_after_a_broken_post_is_deleted_before_the_attempt_ends() -> None:
+    """The POST may still reach the engine, and another attempt would then run the query a second time."""
+    network = EngineSide()
+    _, results = network.start()
+    first_link(network).lose()
+    network.turn()
+    link = network.links[1].up()
     link.say(answer(500))
-    assert not ends
-    world.turn(REUSE_DELAY_S)
-    last = world.links[2].up()
-    assert last.transport.sent() == DELETE
-    last.say(answer(204))
-    assert [end.outcome for end in ends] == [Outcome.CANCELLED]  # held against nobody
-
-
-def test_news_are_asked_for_again_and_again_but_not_in_a_busy_loop() -> None:
-    world = EngineSide()
-    _, ends = world.start()
-    link = first_link(world)
+    assert not results
+    network.turn(REUSE_DELAY_S)
+    delete_link = network.links[2].up()
+    assert delete_link.transport.sent() == DELETE
+    delete_link.say(answer(204))
+    # CANCELLED does not count against the engine.
+    assert [result.outcome for result in results] == [Outcome.CANCELLED]
+
+
+def test_status_is_polled_repeatedly_but_not_in_a_busy_loop() -> None:
+    network = EngineSide()
+    _, results = network.start()
+    link = first_link(network)
     for _ in range(5):
         link.say(answer(202))
         assert link.transport.sent() == b""
-        world.turn(MIN_POLL_INTERVAL_S)
+        network.turn(MIN_POLL_INTERVAL_S)
         assert link.transport.sent() == get(0)
-    world.turn(0.25)
+    network.turn(0.25)
     link.say(answer(202))
-    assert (
-        link.transport.sent() == b""
-    )  # a long poll that took its time: as soon as the connection has rested
-    world.turn(2 * REUSE_DELAY_S)
+    # After a long poll, the next request only waits until the connection may be reused.
+    assert link.transport.sent() == b""
+    network.turn(2 * REUSE_DELAY_S)
     assert link.transport.sent() == get(0)
-    assert len(world.links) == 1
+    assert len(network.links) == 1
     link.say(answer(200, PAGE, X_Sheets="1"))
-    assert [end.outcome for end in ends] == [Outcome.OK]
+    assert [result.outcome for result in results] == [Outcome.OK]
 
 
-def test_pages_lost_midway_are_an_error() -> None:
-    world = EngineSide()
-    _, ends = world.start()
-    link = first_link(world)
+def test_error_status_for_a_page_ends_as_error() -> None:
+    network = EngineSide()
+    _, results = network.start()
+    link = first_link(network)
     link.say(answer(200, PAGE, X_Sheets="2"))
     link.say(answer(500))
-    assert [end.outcome for end in ends] == [Outcome.ERROR]
+    assert [result.outcome for result in results] == [Outcome.ERROR]
 
 
-def test_a_page_with_another_number_is_not_passed_on() -> None:
-    world = EngineSide()
-    _, ends = world.start()
-    link = first_link(world)
+def test_page_with_a_wrong_or_no_number_is_requested_again() -> None:
+    network = EngineSide()
+    _, results = network.start()
+    link = first_link(network)
     link.say(answer(200, PAGE, X_Sheets="3"))
     link.say(answer(200, PAGE, X_Sheet="2"))
-    world.turn()
-    again = world.links[1].up()
-    assert again.transport.sent() == get(1)
-    again.say(answer(200, PAGE))  # nor one without a number
-    world.turn(MIN_POLL_INTERVAL_S)
-    assert world.links[2].up().transport.sent() == get(1)
-    assert not ends
-
-
-@pytest.mark.parametrize("how", ["refuse", "time_out"])
-def test_no_connection_proves_that_nothing_ran(how: str) -> None:
-    world = EngineSide()
-    _, ends = world.start()
-    getattr(world.links[0], how)()
-    assert [end.outcome for end in ends] == [Outcome.CONNECT_FAILED]
-
-
-def test_a_post_whose_connection_breaks_is_not_repeated_and_is_over_before_it_is_told() -> None:
-    """It may have come whole: a second attempt beside it would be a second copy."""
-    world = EngineSide()
-    _, ends = world.start()
-    first_link(world).lose()
-    world.turn()
-    assert not ends
-    link = world.links[1].up()
+    network.turn()
+    retry = network.links[1].up()
+    assert retry.transport.sent() == get(1)
+    retry.say(answer(200, PAGE))  # a page without a number
+    network.turn(MIN_POLL_INTERVAL_S)
+    assert network.links[2].up().transport.sent() == get(1)
+    assert not results
+
+
+@pytest.mark.parametrize("failure", ["refuse", "time_out"])
+def test_failed_connect_ends_as_connect_failed(failure: str) -> None:
+    network = EngineSide()
+    _, results = network.start()
+    getattr(network.links[0], failure)()
+    assert [result.outcome for result in results] == [Outcome.CONNECT_FAILED]
+
+
+def test_post_with_a_broken_connection_is_not_repeated_but_followed_by_a_status_poll() -> None:
+    """The engine may have received the complete POST, and a second one would run the query twice."""
+    network = EngineSide()
+    _, results = network.start()
+    first_link(network).lose()
+    network.turn()
+    assert not results
+    link = network.links[1].up()
     assert link.transport.sent() == get(0)
     link.say(answer(200, PAGE, X_Sheets="1"))
-    assert [end.outcome for end in ends] == [Outcome.OK]
+    assert [result.outcome for result in results] == [Outcome.OK]
 
 
-def test_a_post_whose_engine_has_died_is_reset_at_once() -> None:
-    world = EngineSide()
-    _, ends = world.start()
-    first_link(world).lose()
-    world.turn()
-    world.links[1].refuse()
-    assert [end.outcome for end in ends] == [Outcome.RESET]
+def test_post_to_a_dead_engine_ends_as_reset_at_once() -> None:
+    network = EngineSide()
+    _, results = network.start()
+    first_link(network).lose()
+    network.turn()
+    network.links[1].refuse()
+    assert [result.outcome for result in results] == [Outcome.RESET]
 
 
-def test_a_get_is_asked_again_on_a_new_connection() -> None:
-    world = EngineSide()
-    _, ends = world.start()
-    link = first_link(world)
+def test_get_with_a_broken_connection_is_repeated_on_a_new_one() -> None:
+    network = EngineSide()
+    _, results = network.start()
+    link = first_link(network)
     link.say(answer(200, PAGE, X_Sheets="2"))
     link.lose()
-    world.turn()
-    again = world.links[1].up()
-    assert again.transport.sent() == get(1)
-    again.say(answer(200, PAGE, X_Sheet="1"))
-    assert [end.outcome for end in ends] == [Outcome.OK]
+    network.turn()
+    retry = network.links[1].up()
+    assert retry.transport.sent() == get(1)
+    retry.say(answer(200, PAGE, X_Sheet="1"))
+    assert [result.outcome for result in results] == [Outcome.OK]
 
 
-def test_an_engine_that_dies_between_pages_is_an_outcome_and_nothing_was_passed_on() -> None:
-    world = EngineSide()
-    _, ends = world.start()
-    link = first_link(world)
+def test_engine_death_between_pages_ends_as_reset_without_a_result() -> None:
+    network = EngineSide()
+    _, results = network.start()
+    link = first_link(network)
     link.say(answer(200, PAGE, X_Sheets="2"))
     link.lose()
-    world.turn()
-    world.links[1].refuse()
-    assert [(end.outcome, end.result_set) for end in ends] == [(Outcome.RESET, None)]
+    network.turn()
+    network.links[1].refuse()
+    assert [(result.outcome, result.result_set) for result in results] == [(Outcome.RESET, None)]
 
 
-def test_a_get_is_not_asked_again_for_longer_than_the_engine_keeps_the_query() -> None:
-    world = EngineSide()
-    _, ends = world.start(wait=30.0)
-    link = first_link(world)
+def test_get_is_not_repeated_after_the_lease_of_the_query_has_lapsed() -> None:
+    network = EngineSide()
+    _, results = network.start(wait=30.0)
+    link = first_link(network)
     link.say(answer(202))
-    world.turn(MIN_POLL_INTERVAL_S)
+    network.turn(MIN_POLL_INTERVAL_S)
     link.lose()
     for _ in range(20):
-        world.turn(MIN_POLL_INTERVAL_S)
-        for one in world.links[1:]:
-            if one.protocol is None and not ends:
-                world.turn(0.25)
-                one.protocol = object()
-                one.time_out()
-    assert [end.outcome for end in ends] == [Outcome.RESET]
-
-
-def test_at_its_expiry_an_attempt_times_out_is_given_up_and_hears_no_more() -> None:
-    world = EngineSide()
-    _, ends = world.start(wait=1.0)
-    link = first_link(world)
-    world.turn(1.0)
-    assert [end.outcome for end in ends] == [Outcome.TIMEOUT]
-    assert world.links[1].up().transport.sent() == DELETE
+        network.turn(MIN_POLL_INTERVAL_S)
+        for pending in network.links[1:]:
+            if pending.protocol is None and not results:
+                network.turn(0.25)
+                pending.protocol = object()
+                pending.time_out()
+    assert [result.outcome for result in results] == [Outcome.RESET]
+
+
+def test_expired_attempt_ends_as_timeout_sends_delete_and_ignores_later_responses() -> None:
+    network = EngineSide()
+    _, results = network.start(wait=1.0)
+    link = first_link(network)
+    network.turn(1.0)
+    assert [result.outcome for result in results] == [Outcome.TIMEOUT]
+    assert network.links[1].up().transport.sent() == DELETE
     link.say(answer(200, PAGE, X_Sheets="1"))
-    world.links[1].say(answer(204))
-    world.turn(10.0)
-    assert len(ends) == 1
+    network.links[1].say(answer(204))
+    network.turn(10.0)
+    assert len(results) == 1
 
 
-def test_an_attempt_never_written_by_its_expiry_never_ran() -> None:
-    world = EngineSide(most=1)
-    world.start(wait=9.0)
-    _, ends = world.start(wait=1.0)
-    world.turn(1.0)
-    assert [end.outcome for end in ends] == [Outcome.MOOT]
+def test_attempt_not_sent_before_its_expiry_ends_as_moot() -> None:
+    network = EngineSide(most=1)
+    network.start(wait=9.0)
+    _, results = network.start(wait=1.0)
+    network.turn(1.0)
+    assert [result.outcome for result in results] == [Outcome.MOOT]
 
 
-def test_a_cancelled_attempt_ends_once_the_engine_has_given_it_up() -> None:
-    """Told earlier, the next attempt could start while this one still runs."""
-    world = EngineSide()
-    attempt, ends = world.start()
-    link = first_link(world)
+def test_cancelled_attempt_ends_when_its_delete_is_answered() -> None:
+    """If the attempt ended earlier, the next one could start while this one still runs."""
+    network = EngineSide()
+    attempt, results = network.start()
+    link = first_link(network)
     attempt.abort(Outcome.CANCELLED)
     attempt.abort(Outcome.CANCELLED)
-    assert not ends
-    gone = world.links[1].up()
-    assert gone.transport.sent() == DELETE
+    assert not results
+    delete_link = network.links[1].up()
+    assert delete_link.transport.sent() == DELETE
     link.say(answer(200, PAGE, X_Sheets="2"))
     assert link.transport.sent() == b""
-    gone.say(answer(204))
-    assert [end.outcome for end in ends] == [Outcome.CANCELLED]
+    delete_link.say(answer(204))
+    assert [result.outcome for result in results] == [Outcome.CANCELLED]
 
 
-def test_a_cancelled_attempt_on_a_silent_engine_ends_when_the_engine_has_forgotten_it() -> None:
-    world = EngineSide()
-    attempt, ends = world.start(wait=60.0)
-    link = first_link(world)
-    world.turn(1.0)
+def test_cancelled_attempt_on_a_silent_engine_ends_when_the_lease_has_lapsed() -> None:
+    network = EngineSide()
+    attempt, results = network.start(wait=60.0)
+    link = first_link(network)
+    network.turn(1.0)
     attempt.abort(Outcome.CANCELLED)
-    world.links[1].up()
-    world.turn(QUERY_LEASE_S - 1.1)
-    assert not ends
-    world.turn(0.3)
-    assert [end.outcome for end in ends] == [Outcome.CANCELLED]
-    assert link.transport.aborted  # nothing on its way may start it after all
+    network.links[1].up()
+    network.turn(QUERY_LEASE_S - 1.1)
+    assert not results
+    network.turn(0.3)
+    assert [result.outcome for result in results] == [Outcome.CANCELLED]
+    assert link.transport.aborted  # undelivered data must not start the query later
 
 
-def test_an_attempt_cancelled_before_its_first_byte_is_never_written() -> None:
-    world = EngineSide()
-    attempt, ends = world.start()
+def test_attempt_cancelled_before_its_first_byte_is_never_sent() -> None:
+    network = EngineSide()
+    attempt, results = network.start()
     attempt.abort(Outcome.CANCELLED)
-    assert [end.outcome for end in ends] == [Outcome.CANCELLED]
-    assert world.links[0].up().transport.sent() == b""
+    assert [result.outcome for result in results] == [Outcome.CANCELLED]
+    assert network.links[0].up().transport.sent() == b""
 
 
-def test_a_delete_that_finds_no_connection_is_repeated() -> None:
-    world = EngineSide()
-    attempt, ends = world.start()
-    first_link(world)
+def test_delete_with_a_broken_connection_is_repeated() -> None:
+    network = EngineSide()
+    attempt, results = network.start()
+    first_link(network)
     attempt.abort(Outcome.CANCELLED)
-    world.links[1].up().lose()
-    world.turn(MIN_POLL_INTERVAL_S)
-    again = world.links[2].up()
-    assert again.transport.sent() == DELETE
-    again.say(answer(204))
-    assert [end.outcome for end in ends] == [Outcome.CANCELLED]
-
-
-def test_an_engine_that_leaves_the_list_while_a_connection_is_made_is_sent_nothing() -> None:
-    world = EngineSide()
-    _, ends = world.start()
-    world.directory.update(news(2, full=False, a="draining"))
-    link = world.links[0].up()
-    world.turn()
+    network.links[1].up().lose()
+    network.turn(MIN_POLL_INTERVAL_S)
+    retry = network.links[2].up()
+    assert retry.transport.sent() == DELETE
+    retry.say(answer(204))
+    assert [result.outcome for result in results] == [Outcome.CANCELLED]
+
+
+def test_engine_that_starts_to_drain_during_the_connect_is_sent_nothing() -> None:
+    network = EngineSide()
+    _, results = network.start()
+    network.directory.update(news(2, full=False, a="draining"))
+    link = network.links[0].up()
+    network.turn()
     assert link.transport.sent() == b""
-    assert [end.outcome for end in ends] == [Outcome.MOOT]
+    assert [result.outcome for result in results] == [Outcome.MOOT]
 
 
-def test_two_attempts_of_one_query_on_one_engine_are_not_mixed_up() -> None:
-    world = EngineSide()
-    first, first_ends = world.start()
-    link = first_link(world)
+def test_late_response_to_a_cancelled_attempt_does_not_end_the_next_attempt() -> None:
+    network = EngineSide()
+    first, first_results = network.start()
+    link = first_link(network)
     first.abort(Outcome.CANCELLED)
-    world.links[1].up().say(answer(204))
-    _, second_ends = world.start()
-    link.say(answer(200, PAGE, X_Sheets="1"))  # the first one's, late
-    assert [end.outcome for end in first_ends] == [Outcome.CANCELLED]
-    assert not second_ends
-
-
-def test_an_engine_that_takes_no_new_connection_but_has_one_up_is_not_taken_for_dead() -> None:
-    """One that drains may refuse connections while it runs on: a second attempt would be a second copy."""
-    world = EngineSide()
-    attempt, ends = world.start(wait=30.0)
-    world.start(wait=30.0)
-    link, _ = (one.up() for one in world.links)
+    network.links[1].up().say(answer(204))
+    _, second_results = network.start()
+    link.say(answer(200, PAGE, X_Sheets="1"))  # the late response to the first attempt
+    assert [result.outcome for result in first_results] == [Outcome.CANCELLED]
+    assert not second_results
+
+
+def test_engine_that_refuses_connections_but_has_an_established_one_is_not_treated_as_dead() -> None:
+    """A draining engine may refuse connections while it still runs queries.
+
+    If it were treated as dead, the next attempt would run the query a second time.
+    """
+    network = EngineSide()
+    attempt, results = network.start(wait=30.0)
+    network.start(wait=30.0)
+    link, _ = (connection.up() for connection in network.links)
     link.transport.clear()
     attempt.abort(Outcome.CANCELLED)
-    world.links[2].refuse()
-    assert not ends
-    link.say(answer(202))  # the POST's answer, which nobody wants, frees its connection
-    world.turn(MIN_POLL_INTERVAL_S)
+    network.links[2].refuse()
+    assert not results
+    link.say(answer(202))  # the ignored response to the POST releases the connection
+    network.turn(MIN_POLL_INTERVAL_S)
     assert link.transport.sent() == DELETE
     link.say(answer(204))
-    assert [end.outcome for end in ends] == [Outcome.CANCELLED]
+    assert [result.outcome for result in results] == [Outcome.CANCELLED]
 
 
-def test_news_refused_on_a_new_connection_are_asked_for_on_one_that_is_up() -> None:
-    world = EngineSide()
-    _, ends = world.start(wait=30.0)
-    world.start(wait=30.0)
-    link, busy = (one.up() for one in world.links)
+def test_poll_refused_on_a_new_connection_uses_an_established_one() -> None:
+    network = EngineSide()
+    _, results = network.start(wait=30.0)
+    network.start(wait=30.0)
+    link, other_link = (connection.up() for connection in network.links)
     link.lose()
-    world.turn()
-    world.links[2].refuse()
-    busy.say(answer(202))
-    world.turn(2 * REUSE_DELAY_S)
-    assert not ends
-    busy.transport.clear()
-    world.turn(MIN_POLL_INTERVAL_S)
-    assert busy.transport.sent() == get(0)
-    busy.say(answer(200, PAGE, X_Sheets="1"))
-    assert [end.outcome for end in ends] == [Outcome.OK]
-
-
-@pytest.mark.parametrize("how", ["cancelled", "expired", "served", "spoilt"])
-def test_an_attempt_that_is_over_is_freed_without_a_collection(how: str) -> None:
-    """Each holds a result: kept until a collection they would make memory grow."""
+    network.turn()
+    network.links[2].refuse()
+    other_link.say(answer(202))
+    network.turn(2 * REUSE_DELAY_S)
+    assert not results
+    other_link.transport.clear()
+    network.turn(MIN_POLL_INTERVAL_S)
+    assert other_link.transport.sent() == get(0)
+    other_link.say(answer(200, PAGE, X_Sheets="1"))
+    assert [result.outcome for result in results] == [Outcome.OK]
+
+
+@pytest.mark.parametrize("ending", ["cancelled", "expired", "served", "unreadable"])
+def test_ended_attempt_is_freed_without_garbage_collection(ending: str) -> None:
+    """Each attempt holds a result, so memory would grow if attempts waited for a garbage collection."""
     gc.collect()
     gc.disable()
     try:
-        world = EngineSide()
-        attempt, ends = world.start(wait=1.0)
-        left = weakref.ref(attempt)
-        link = first_link(world)
-        if how == "cancelled":
+        network = EngineSide()
+        attempt, results = network.start(wait=1.0)
+        reference = weakref.ref(attempt)
+        link = first_link(network)
+        if ending == "cancelled":
             attempt.abort(Outcome.CANCELLED)
-        elif how == "expired":
-            world.turn(1.0)
-        elif how == "served":
+        elif ending == "expired":
+            network.turn(1.0)
+        elif ending == "served":
             link.say(answer(200, PAGE, X_Sheets="1"))
         else:
             link.say(b"noise")
-            world.turn()
-            world.links[1].up().say(answer(200, PAGE, X_Sheets="1"))
-        if how in ("cancelled", "expired"):
-            world.links[1].up().say(answer(204))
-        assert len(ends) == 1
+            network.turn()
+            network.links[1].up().say(answer(200, PAGE, X_Sheets="1"))
+        if ending in ("cancelled", "expired"):
+            network.links[1].up().say(answer(204))
+        assert len(results) == 1
         del attempt
-        world.turn(3.0)
-        world.turn(3.0)
-        assert left() is None
+        network.turn(3.0)
+        network.turn(3.0)
+        assert reference() is None
     finally:
         gc.enable()
