--- a/micahold/transport/attempts.py
+++ b/micahold/transport/attempts.py
@@ -203,7 +203,7 @@
         elif response.status == 503 and untouched:
             self._finish(Outcome.FULL, response)
         elif response.status == 504:
-            self._finish(Outcome.MOOT if untouched else Outcome.TIMEOUT, response)
+            self._finish(Outcome.NOT_STARTED if untouched else Outcome.TIMEOUT, response)
         elif not was_known and self._is_retry:
             # The POST was never answered and the engine does not have the query yet: it must not start it
             # later. This does not count against the engine: it responds, and resets affect any connection.
@@ -252,7 +252,7 @@
         off or missing.
         """
         if failure.check(CallNotSentError):
-            self._finish(Outcome.MOOT)
+            self._finish(Outcome.NOT_STARTED)
         elif failure.check(ConnectError):
             self._finish(Outcome.CONNECT_FAILED)
         elif failure.check(UnreadableResponseError, ConnectionBrokenError):
@@ -336,7 +336,7 @@
         if post_call is None or not post_call.written:
             if post_call is not None:
                 post_call.abandon()
-            self._finish(Outcome.MOOT if outcome is Outcome.TIMEOUT else outcome)
+            self._finish(Outcome.NOT_STARTED if outcome is Outcome.TIMEOUT else outcome)
             return
         self._abort_outcome = outcome
         if self._current_call is not None and self._current_call is not post_call:
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -77,7 +77,7 @@
         (answer(503), Outcome.ERROR),
         (answer(500), Outcome.ERROR),
         (answer(404), Outcome.ERROR),
-        (answer(504, Srv_Untouched="1"), Outcome.MOOT),
+        (answer(504, Srv_Untouched="1"), Outcome.NOT_STARTED),
         (answer(504), Outcome.TIMEOUT),
     ],
 )
@@ -291,12 +291,12 @@
     assert len(results) == 1
 
 
-def test_attempt_not_sent_before_its_expiry_ends_as_moot() -> None:
+def test_attempt_not_sent_before_its_expiry_ends_as_not_started() -> None:
     network = EngineSide(most=1)
     network.start(wait=9.0)
     _, results = network.start(wait=1.0)
     network.turn(1.0)
-    assert [result.outcome for result in results] == [Outcome.MOOT]
+    assert [result.outcome for result in results] == [Outcome.NOT_STARTED]
 
 
 def test_cancelled_attempt_ends_when_its_delete_is_answered() -> None:
@@ -357,7 +357,7 @@
     link = network.links[0].up()
     network.turn()
     assert link.transport.sent() == b""
-    assert [result.outcome for result in results] == [Outcome.MOOT]
+    assert [result.outcome for result in results] == [Outcome.NOT_STARTED]
 
 
 def test_late_response_to_a_cancelled_attempt_does_not_end_the_next_attempt() -> None:
