--- a/micahold/membership/controller_adapter.py
+++ b/micahold/membership/controller_adapter.py
@@ -1,8 +1,8 @@
-"""Between the group and the decisions, both ways, as events; pure.
+"""Connects the group and the controller, in both directions, as events; pure.
 
-From the exchange come the events that it tells the decision module anyway: attempts that ended and the engine
-list. To it go ``Hearsay`` and ``GroupSize``: at a change, and hearsay once a second besides, since it is void
-after a time.
+From the exchange come the events that it passes to the controller anyway: attempts that ended and the engine
+list. The controller gets the peer reports and the size of the group when they change, and the peer reports
+once a second as well, since they expire.
 """
 
 from __future__ import annotations
@@ -10,54 +10,58 @@
 from micahold import interface as api
 from micahold.membership.group import Group, Verdict
 
-REPEAT_INTERVAL_S = 1.0
+REPEAT_INTERVAL_S = 1.0  # peer reports expire, so unchanged ones are repeated
 FAILED_OUTCOMES = frozenset(
     {api.Outcome.ERROR, api.Outcome.CONNECT_FAILED, api.Outcome.RESET, api.Outcome.TIMEOUT}
 )
-IGNORED_OUTCOMES = frozenset(
-    {api.Outcome.FULL, api.Outcome.CANCELLED, api.Outcome.MOOT}
-)  # say nothing of the engine
+# These outcomes say nothing about the engine.
+IGNORED_OUTCOMES = frozenset({api.Outcome.FULL, api.Outcome.CANCELLED, api.Outcome.MOOT})
 
 
 class ControllerAdapter:
-    """``hearsay`` False: the group is counted, and what it says of engines is kept from the decisions."""
+    """Passes events between one group member and its controller.
+
+    With ``share_reports`` False the controller gets the group's size, but no peer reports about engines.
+    """
 
     def __init__(self, group: Group, share_reports: bool = True) -> None:
-        self.group, self.share_reports = group, share_reports
+        self.group = group
+        self.share_reports = share_reports
         self.engine_states: dict[str, api.EngineState] = {}
-        self._told: Verdict | None = None
-        self._told_at = 0.0
+        self._last_verdict: Verdict | None = None
+        self._reported_at = 0.0
 
     def handle_event(self, now: float, event: api.Event) -> None:
-        """What the exchange tells the decisions."""
+        """Take in an event that the exchange passes to the controller."""
         match event:
             case api.AttemptEnded(attempt=attempt, engine=engine, outcome=outcome):
-                # An error after others is the query's own, not the engine's: the decisions judge alike.
+                # An error after the first attempt counts against the query alone, as in the controller.
                 if outcome not in IGNORED_OUTCOMES and not (outcome is api.Outcome.ERROR and attempt > 0):
                     self.group.attempt_ended(now, engine, outcome in FAILED_OUTCOMES)
             case api.ListUpdate(kind=kind, entries=entries):
                 if kind is not api.ListKind.CHANGES and kind is not api.ListKind.UNAVAILABLE:
                     self.engine_states.clear()
-                    self._told = None  # it may be a new controller, which knows nothing yet
+                    self._last_verdict = None  # the controller may be new and have no state yet
                 for entry in entries:
                     if entry.state is api.EngineState.GONE:
                         self.engine_states.pop(entry.engine, None)
                     else:
                         self.engine_states[entry.engine] = entry.state
-                up = {one for one, state in self.engine_states.items() if state is api.EngineState.UP}
+                up = {engine for engine, state in self.engine_states.items() if state is api.EngineState.UP}
                 self.group.listed(now, up, set(self.engine_states) - up)
 
     def take_events(self, now: float) -> list[api.Event]:
-        """What the decisions should be told now."""
-        verdict, told = self.group.verdict, self._told
+        """The events that the controller should get now; each change is returned once."""
+        verdict = self.group.verdict
+        last = self._last_verdict
         events: list[api.Event] = []
-        if told is None or told.size != verdict.size:
+        if last is None or last.size != verdict.size:
             events.append(api.GroupSize(verdict.size.upper_bound, verdict.size.live))
         if self.share_reports:
-            said = (verdict.failing, verdict.draining)
-            before = (told.failing, told.draining) if told is not None else (frozenset(), frozenset())
-            if said != before or (any(said) and now >= self._told_at + REPEAT_INTERVAL_S):
-                events.append(api.Hearsay(*said, verdict.until))
-                self._told_at = now
-        self._told = verdict
+            reports = (verdict.failing, verdict.draining)
+            last_reports = (last.failing, last.draining) if last is not None else (frozenset(), frozenset())
+            if reports != last_reports or (any(reports) and now >= self._reported_at + REPEAT_INTERVAL_S):
+                events.append(api.Hearsay(*reports, verdict.until))
+                self._reported_at = now
+        self._last_verdict = verdict
         return events
--- a/micahold/membership/dissemination.py
+++ b/micahold/membership/dissemination.py
@@ -1,8 +1,8 @@
-"""Dissemination: statements ride on datagrams, each a number of times that grows with log n.
+"""Dissemination: statements are piggybacked on datagrams, each a number of times that grows with log n.
 
-After SWIM section 4.1 and Lifeguard's ordering: by level first, then the least sent, then the newest. A
-statement replaces an older one under the same key. What has been sent often enough is dropped; the number
-kept is bounded.
+Follows SWIM section 4.1 with Lifeguard's order: by priority, then those sent fewest times, then the newest. A
+statement replaces an older one under the same key. A statement that reaches the retransmission limit is
+dropped, and the number queued is bounded.
 """
 
 from __future__ import annotations
@@ -14,18 +14,18 @@
 from micahold.membership.traffic import Priority
 from micahold.membership.wire import Signed
 
-RETRANSMIT_MULTIPLIER = 4  # times log10(n + 1)
-MAX_QUEUED_STATEMENTS = 2048
+RETRANSMIT_MULTIPLIER = 4  # the retransmission limit is this times ceil(log10(n + 1)) for n members
+MAX_QUEUED_STATEMENTS = 2048  # bounds memory
 
 
 def retransmission_limit(members: int) -> int:
-    """How often one statement is sent by one member in a group of that size."""
+    """How many times one member sends a statement in a group of that size."""
     return RETRANSMIT_MULTIPLIER * ceil(log10(members + 1))
 
 
 @dataclass(slots=True)
 class QueuedStatement:
-    """A statement that still has to go out."""
+    """A statement to send, and how many times it has been sent so far."""
 
     key: Hashable
     signed: Signed
@@ -34,57 +34,58 @@
 
 
 class DisseminationQueue:
-    """What this member passes on, in lines by level and how often it was sent; in each the newest last."""
+    """The statements that this member sends, in queues by priority and transmissions, each oldest first."""
 
     def __init__(self) -> None:
         self.statements: dict[Hashable, QueuedStatement] = {}
-        self._lines: dict[tuple[int, int], dict[Hashable, QueuedStatement]] = {}
+        self._queues: dict[tuple[int, int], dict[Hashable, QueuedStatement]] = {}
 
     def add(self, key: Hashable, signed: Signed, priority: Priority) -> None:
-        """Queue a statement; one that is queued already changes nothing."""
-        before = self.statements.get(key)
-        if before is not None:
-            if before.signed == signed:
+        """Queue a statement in place of an older one under its key; no effect where it is queued already."""
+        queued = self.statements.get(key)
+        if queued is not None:
+            if queued.signed == signed:
                 return
-            self._remove(before)
-        self._put(QueuedStatement(key, signed, priority))
+            self._remove(queued)
+        self._insert(QueuedStatement(key, signed, priority))
         if len(self.statements) > MAX_QUEUED_STATEMENTS:
-            # The least of them: lowest level, most often sent, oldest.
-            self._remove(next(iter(self._lines[max(self._lines)].values())))
+            # Drop the least valuable: lowest priority, most often sent, oldest.
+            self._remove(next(iter(self._queues[max(self._queues)].values())))
 
     def count_duplicate(self, key: Hashable, signed: Signed) -> None:
-        """Somebody told it to us, who know it: one member more has it, so it counts as sent once.
+        """Count a statement as sent once when another member sends it here: one member more has it.
 
-        After the feedback of Demers and others (1987): news that everybody has stops by itself. Not so with
-        what clears a name: one member that never hears it buries who lives.
+        Feedback as in Demers et al. (1987): statements that every member has stop by themselves. Refutations
+        are excepted, since a member that never receives one declares a live member dead.
         """
-        one = self.statements.get(key)
+        statement = self.statements.get(key)
         if (
-            one is not None
-            and one.priority is not Priority.REFUTATION
-            and one.signed.signature == signed.signature
+            statement is not None
+            and statement.priority is not Priority.REFUTATION
+            and statement.signed.signature == signed.signature
         ):
-            self._count(one)
+            self._count_transmission(statement)
 
     def retain(self, keep: Callable[[Hashable], bool]) -> None:
-        for one in [one for key, one in self.statements.items() if not keep(key)]:
-            self._remove(one)
-
-    def _put(self, one: QueuedStatement) -> None:
-        self.statements[one.key] = one
-        self._lines.setdefault((one.priority, one.transmissions), {})[one.key] = one
-
-    def _remove(self, one: QueuedStatement) -> None:
-        del self.statements[one.key]
-        line = self._lines[one.priority, one.transmissions]
-        del line[one.key]
-        if not line:
-            del self._lines[one.priority, one.transmissions]
-
-    def _count(self, one: QueuedStatement) -> None:
-        self._remove(one)
-        one.transmissions += 1
-        self._put(one)
+        """Drop the statements whose key does not satisfy ``keep``."""
+        for statement in [statement for key, statement in self.statements.items() if not keep(key)]:
+            self._remove(statement)
+
+    def _insert(self, statement: QueuedStatement) -> None:
+        self.statements[statement.key] = statement
+        self._queues.setdefault((statement.priority, statement.transmissions), {})[statement.key] = statement
+
+    def _remove(self, statement: QueuedStatement) -> None:
+        del self.statements[statement.key]
+        queue = self._queues[statement.priority, statement.transmissions]
+        del queue[statement.key]
+        if not queue:
+            del self._queues[statement.priority, statement.transmissions]
+
+    def _count_transmission(self, statement: QueuedStatement) -> None:
+        self._remove(statement)
+        statement.transmissions += 1
+        self._insert(statement)
 
     def select(
         self,
@@ -93,31 +94,35 @@
         receiver: str = "",
         lowest: Priority = Priority.FORWARDED,
     ) -> list[QueuedStatement]:
-        """Up to ``max_statements`` down to priority ``lowest`` that fit, none of them by ``receiver``."""
-        picked: list[QueuedStatement] = []
-        passed = 0
-        for priority, sent in sorted(self._lines):
+        """The next statements to send to ``receiver``, except its own.
+
+        At most ``max_statements``, of priority ``lowest`` or higher, within ``available_bytes``. The search
+        also ends after 2 * ``max_statements`` that do not fit, which bounds the time of a call.
+        """
+        selected: list[QueuedStatement] = []
+        skipped = 0
+        for priority, transmissions in sorted(self._queues):
             if priority > lowest:
                 break
-            for one in reversed(self._lines[priority, sent].values()):
-                length = one.signed.length()
-                if length <= available_bytes and one.signed.origin != receiver:
+            for statement in reversed(self._queues[priority, transmissions].values()):
+                length = statement.signed.length()
+                if length <= available_bytes and statement.signed.origin != receiver:
                     available_bytes -= length
-                    picked.append(one)
+                    selected.append(statement)
                 else:
-                    passed += 1
-                if len(picked) >= max_statements or available_bytes < 96 or passed > 2 * max_statements:
-                    return picked
-        return picked
+                    skipped += 1
+                if len(selected) >= max_statements or available_bytes < 96 or skipped > 2 * max_statements:
+                    return selected
+        return selected
 
     def mark_sent(self, statements: Iterable[QueuedStatement], members: int) -> None:
-        """These have left; what has gone out often enough in a group of that size is dropped."""
+        """Count these as sent once more; drop those at the retransmission limit for a group of that size."""
         limit = retransmission_limit(members)
-        for one in statements:
-            if self.statements.get(one.key) is one:
-                self._count(one)
-                if one.transmissions >= limit:
-                    self._remove(one)
+        for statement in statements:
+            if self.statements.get(statement.key) is statement:
+                self._count_transmission(statement)
+                if statement.transmissions >= limit:
+                    self._remove(statement)
 
     def __len__(self) -> int:
         return len(self.statements)
--- a/micahold/membership/drain_reports.py
+++ b/micahold/membership/drain_reports.py
@@ -1,31 +1,31 @@
-"""Drains heard early: what members read in their engine lists before ours says it.
+"""Drains reported by peers: engines that drain by the engine lists of other members, ahead of the local list.
 
-A drain heard can only make this gateway stop sending sooner. It takes two members, it holds no more than a
-stated part of the engines, and it ends by itself if our own list does not confirm it; who told of it is then
-not believed for a while.
+A reported drain can only make this gateway stop sending earlier. It needs the reports of two members, it
+applies to a bounded share of the engines at most, and it ends by itself where the local engine list does not
+confirm it in time; the members that reported it are then ignored for a while.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 
-MIN_REPORTERS = 2
-CONFIRMATION_TIMEOUT_S = 3.0  # for our own list to confirm it
-REPORTER_IGNORED_S = 60.0
+MIN_REPORTERS = 2  # so that a single lying member cannot hold queries back from an engine
+CONFIRMATION_TIMEOUT_S = 3.0  # time for the local engine list to confirm a reported drain
+REPORTER_IGNORED_S = 60.0  # for how long a member is ignored after a report that was not confirmed
 MAX_HELD_SHARE = 1 / 8  # of the engines that are up, one at least
-MAX_TRACKED_ENGINES = 256  # that are kept track of
+MAX_TRACKED_ENGINES = 256  # engines with reports; bounds memory
 
 
 @dataclass(slots=True)
 class ReportedDrain:
-    """One engine that some say drains."""
+    """Reports that one engine drains."""
 
     first_reported_at: float
     reporters: set[str] = field(default_factory=set)
 
 
 class DrainReports:
-    """``up``: engines that our own list says are up."""
+    """Peer reports of drains; ``up`` are the engines that are up by the local engine list."""
 
     def __init__(self) -> None:
         self.reported: dict[str, ReportedDrain] = {}
@@ -33,12 +33,12 @@
         self.up: set[str] = set()
 
     def set_listed_engines(self, up: set[str]) -> None:
-        """Our own list: engines that it drains or has no more are confirmed."""
+        """Take over the local engine list; it confirms the drains of engines that are no longer up in it."""
         self.up = up
-        self.reported = {one: word for one, word in self.reported.items() if one in up}
+        self.reported = {engine: drain for engine, drain in self.reported.items() if engine in up}
 
     def add_report(self, now: float, origin: str, engines: tuple[str, ...]) -> None:
-        """A member says that these drain by its own list."""
+        """Record that these engines drain by the engine list of member ``origin``."""
         if now < self.ignored_until.get(origin, 0.0):
             return
         for engine in engines:
@@ -46,23 +46,24 @@
                 self.reported.setdefault(engine, ReportedDrain(now)).reporters.add(origin)
 
     def draining_engines(self, now: float) -> frozenset[str]:
-        """Engines that get nothing new: the earliest heard first, up to the stated part."""
-        for engine, word in list(self.reported.items()):
-            if now >= word.first_reported_at + CONFIRMATION_TIMEOUT_S:
+        """Engines to send no new queries to: the earliest reported, up to ``MAX_HELD_SHARE``."""
+        for engine, drain in list(self.reported.items()):
+            if now >= drain.first_reported_at + CONFIRMATION_TIMEOUT_S:
                 del self.reported[engine]
-                for origin in word.reporters:
+                for origin in drain.reporters:
                     self.ignored_until[origin] = now + REPORTER_IGNORED_S
-        self.ignored_until = {one: until for one, until in self.ignored_until.items() if now < until}
-        most = max(1, int(len(self.up) * MAX_HELD_SHARE))
-        told = [
-            (word.first_reported_at, one)
-            for one, word in self.reported.items()
-            if len(word.reporters) >= MIN_REPORTERS
+        self.ignored_until = {origin: until for origin, until in self.ignored_until.items() if now < until}
+        limit = max(1, int(len(self.up) * MAX_HELD_SHARE))
+        reported = [
+            (drain.first_reported_at, engine)
+            for engine, drain in self.reported.items()
+            if len(drain.reporters) >= MIN_REPORTERS
         ]
-        return frozenset(one for _, one in sorted(told)[:most])
+        return frozenset(engine for _, engine in sorted(reported)[:limit])
 
     def due(self) -> float:
+        """Time at which the next reported drain ends unconfirmed, infinity where there is none."""
         return min(
-            (word.first_reported_at + CONFIRMATION_TIMEOUT_S for word in self.reported.values()),
+            (drain.first_reported_at + CONFIRMATION_TIMEOUT_S for drain in self.reported.values()),
             default=float("inf"),
         )
--- a/micahold/membership/failure_reports.py
+++ b/micahold/membership/failure_reports.py
@@ -1,11 +1,12 @@
-"""What members saw of engines, and how far their word goes.
-
-First-hand only: a testimony is signed by who made the attempts, says how many failed within a short window,
-and fades. Combining: one member one voice; no word counts without ``quorum`` members of like word, and not
-against a greater number of the opposite; own sight outweighs. Who keeps contradicting own sight or a clear
-majority loses credit at once and regains it slowly. Two different testimonies under one sequence are proof of
-a lie: kept, passed on, and the end of that member's voice. Hearsay touches only a stated part of the engines
-at once.
+"""Members' reports of failing engines, and how far a member relies on the reports of others.
+
+Reports are first-hand only: a member signs how many of its own attempts on an engine failed within a short
+window, and a report loses weight with age. Each member counts once. The group calls an engine failing only
+where a quorum of members reports it bad and fewer report it good, and this member's own confident
+observations overrule the group. A member that contradicts this member's observations, or a clear majority of
+the others, loses credibility at once and regains it slowly. Two different reports under one sequence number
+prove equivocation: both are kept and forwarded, and that member's reports no longer count. Peer reports can
+report_id only a bounded share of the engines at once.
 """
 
 from __future__ import annotations
@@ -17,99 +18,121 @@
 
 from micahold.membership.wire import MOST_ROWS, Row, Signed, Testimony
 
-WINDOW_S = 5  # of own attempts, in whole seconds
-BAD_SHARE, GOOD_SHARE = (
-    0.5,
-    0.1,
-)  # of attempts that failed: a bad word from the one, a good word up to the other
-LEAST_ATTEMPTS, SURE_ATTEMPTS = 2, 3  # for a word at all; for own sight to outweigh
-VOICES_LEAST, VOICES_MOST = 3, 7
-MAX_REPORT_AGE_S, HALF_S = 6.0, 3.0  # a testimony counts no more; its weight halves
-LEAST_WEIGHT = 0.25
-CREDIT_LOSS, CREDIT_GAIN_S, CREDIT_LEAST = 0.7, 0.01, 0.5  # kept at a contradiction; a second; to be heard
-MOST_PART = 1 / 4  # of the engines listed, one at least
-KEPT_SEQUENCES = 4  # of one origin, to tell a lie by
+OBSERVATION_WINDOW_S = 5  # own attempts are counted in whole seconds over this window
+MIN_BAD_SHARE = 0.5  # share of failed attempts from which an engine is assessed as bad
+MAX_GOOD_SHARE = 0.1  # share of failed attempts up to which an engine is assessed as good
+MIN_ATTEMPTS = 2  # fewer attempts than this give no assessment
+MIN_CONFIDENT_ATTEMPTS = 3  # from this many, own observations overrule the reports of others
+MIN_QUORUM = 3
+MAX_QUORUM = 7
+MAX_REPORT_AGE_S = 6.0  # older reports are ignored
+REPORT_HALF_LIFE_S = 3.0  # half-life of a report's weight
+MIN_REPORT_WEIGHT = 0.25
+CREDIBILITY_KEPT = 0.7  # factor by which a contradiction reduces a member's credibility
+CREDIBILITY_GAIN_PER_S = 0.01
+MIN_CREDIBILITY = 0.5  # reports of a member below this do not count
+MAX_FAILING_SHARE = 1 / 4  # of the listed engines that peer reports may report_id as failing, one at least
+KEPT_REPORTS = 4  # recent reports kept of each member, to detect equivocation
 
 
 class Assessment(Enum):
+    """What attempts on an engine indicate about it."""
+
     BAD = "bad"
     GOOD = "good"
     NONE = "none"
 
 
 def assess(attempts: int, failures: int) -> Assessment:
-    """What so many failures of so many attempts say."""
-    if attempts < LEAST_ATTEMPTS or failures > attempts:
+    """Assess an engine by its attempts and failures; NONE for too few attempts or an unclear share."""
+    if attempts < MIN_ATTEMPTS or failures > attempts:
         return Assessment.NONE
     share = failures / attempts
     return (
-        Assessment.BAD if share >= BAD_SHARE else Assessment.GOOD if share <= GOOD_SHARE else Assessment.NONE
+        Assessment.BAD
+        if share >= MIN_BAD_SHARE
+        else Assessment.GOOD
+        if share <= MAX_GOOD_SHARE
+        else Assessment.NONE
     )
 
 
 def quorum(live_members: int) -> int:
-    """Members of like word that are needed: more than a third of a small group, a few of a large one."""
-    return max(VOICES_LEAST, min(VOICES_MOST, live_members // 3 + 1))
+    """Members that must agree on an engine: more than a third of the live members, within the two bounds.
+
+    ``MAX_QUORUM`` keeps it small in a large group.
+    """
+    return max(MIN_QUORUM, min(MAX_QUORUM, live_members // 3 + 1))
 
 
 class LocalObservations:
-    """Own attempts of the last seconds, by engine; engines that are no longer listed are dropped."""
+    """Attempts and failures of this member by engine, over the last ``OBSERVATION_WINDOW_S`` seconds.
+
+    ``engines`` holds, for each engine, entries of [second, attempts, failures].
+    """
 
     def __init__(self) -> None:
         self.engines: dict[str, deque[list[int]]] = {}
 
     def record_attempt(self, now: float, engine: str, failed: bool) -> None:
+        """Count one attempt on an engine."""
         second = int(now)
-        seen = self.engines.setdefault(engine, deque(maxlen=WINDOW_S + 1))
-        if not seen or seen[-1][0] != second:
-            seen.append([second, 0, 0])
-        seen[-1][1] += 1
-        seen[-1][2] += failed
+        entries = self.engines.setdefault(engine, deque(maxlen=OBSERVATION_WINDOW_S + 1))
+        if not entries or entries[-1][0] != second:
+            entries.append([second, 0, 0])
+        entries[-1][1] += 1
+        entries[-1][2] += failed
 
     def counts(self, now: float, engine: str) -> tuple[int, int]:
         """Attempts and failures within the window."""
-        recent = [one for one in self.engines.get(engine, ()) if one[0] > now - WINDOW_S - 1]
-        return sum(one[1] for one in recent), sum(one[2] for one in recent)
+        recent = [
+            entry for entry in self.engines.get(engine, ()) if entry[0] > now - OBSERVATION_WINDOW_S - 1
+        ]
+        return sum(entry[1] for entry in recent), sum(entry[2] for entry in recent)
 
     def assessment(self, now: float, engine: str) -> Assessment:
+        """Assessment of an engine by this member's own attempts."""
         return assess(*self.counts(now, engine))
 
     def confident_assessment(self, now: float, engine: str) -> Assessment:
-        """The word that outweighs hearsay: from more attempts than any word at all."""
+        """The assessment that overrules peer reports; it needs ``MIN_CONFIDENT_ATTEMPTS``."""
         attempts, failures = self.counts(now, engine)
-        return assess(attempts, failures) if attempts >= SURE_ATTEMPTS else Assessment.NONE
+        return assess(attempts, failures) if attempts >= MIN_CONFIDENT_ATTEMPTS else Assessment.NONE
 
     def retain(self, now: float, engines: set[str]) -> None:
+        """Keep only the engines among ``engines`` that have attempts within the window."""
         self.engines = {
-            one: seen
-            for one, seen in self.engines.items()
-            if one in engines and seen and seen[-1][0] > now - WINDOW_S - 1
+            engine: entries
+            for engine, entries in self.engines.items()
+            if engine in engines and entries and entries[-1][0] > now - OBSERVATION_WINDOW_S - 1
         }
 
 
 @dataclass(slots=True)
 class Reporter:
-    """One member's latest testimony and how far it is believed."""
+    """One member's latest report and its credibility, from 0 to 1."""
 
     credibility: float = 1.0
-    at: float = 0.0  # when the credit was last worked out
-    reported_at: float = -1e9  # when its latest testimony was made, by our clock
+    updated_at: float = 0.0  # when the credibility was last updated
+    reported_at: float = -1e9  # when its latest report was made, by the local clock
     run: int = 0
     sequence: int = -1
     rows: tuple[Row, ...] = ()
     recent_statements: deque[tuple[int, int, Signed]] = field(
-        default_factory=lambda: deque(maxlen=KEPT_SEQUENCES)
+        default_factory=lambda: deque(maxlen=KEPT_REPORTS)
     )
 
     def credibility_at(self, now: float) -> float:
-        return min(1.0, self.credibility + CREDIT_GAIN_S * max(0.0, now - self.at))
+        """Credibility with what was regained since its last update."""
+        return min(1.0, self.credibility + CREDIBILITY_GAIN_PER_S * max(0.0, now - self.updated_at))
 
     def reduce_credibility(self, now: float) -> None:
-        self.credibility, self.at = self.credibility_at(now) * CREDIT_LOSS, now
+        """Apply the loss for one contradiction."""
+        self.credibility, self.updated_at = self.credibility_at(now) * CREDIBILITY_KEPT, now
 
 
 class FailureReports:
-    """Voices of others beside own sight."""
+    """Reports of other members beside this member's own observations."""
 
     def __init__(self) -> None:
         self.observations = LocalObservations()
@@ -117,120 +140,129 @@
         self.equivocations: dict[str, tuple[Signed, Signed]] = {}
 
     def add_report(self, now: float, signed: Signed, testimony: Testimony, made_at: float) -> bool:
-        """A testimony whose signature is good, made at ``made`` by our clock; True where it was news.
+        """Apply a report, made at ``made_at`` by the local clock; return whether it must be forwarded.
 
-        Its time is judged by the caller; an older sequence than the last changes nothing but may prove a lie.
+        The caller has verified its signature and checked its age. A report that is older than the latest one
+        of its origin changes nothing, but may prove equivocation.
         """
         origin = signed.origin
         if origin in self.equivocations:
             return False
-        voice = self.reporters.setdefault(origin, Reporter(at=now))
-        mark = testimony.run, testimony.sequence
-        for run, sequence, other in voice.recent_statements:
-            if (run, sequence) == mark:
+        reporter = self.reporters.setdefault(origin, Reporter(updated_at=now))
+        report_id = testimony.run, testimony.sequence
+        for run, sequence, other in reporter.recent_statements:
+            if (run, sequence) == report_id:
                 if other.body == signed.body:
                     return False
                 self.equivocations[origin] = (other, signed)
                 del self.reporters[origin]
                 return True
-        voice.recent_statements.append((*mark, signed))
-        if mark <= (voice.run, voice.sequence):
+        reporter.recent_statements.append((*report_id, signed))
+        if report_id <= (reporter.run, reporter.sequence):
             return False
-        voice.run, voice.sequence = mark
-        voice.rows, voice.reported_at = testimony.rows, made_at
-        if self._contradicts(now, origin, testimony.rows):
-            voice.reduce_credibility(now)
+        reporter.run, reporter.sequence = report_id
+        reporter.rows, reporter.reported_at = testimony.rows, made_at
+        if self._is_contradicted(now, origin, testimony.rows):
+            reporter.reduce_credibility(now)
         return True
 
-    def _contradicts(self, now: float, origin: str, rows: Iterable[Row]) -> bool:
-        """Whether any row says the opposite of our own sight, or of a clear majority of the others."""
+    def _is_contradicted(self, now: float, origin: str, rows: Iterable[Row]) -> bool:
+        """Whether own confident observations, or a clear majority of the others, are opposite to a row."""
         opposite = {Assessment.BAD: Assessment.GOOD, Assessment.GOOD: Assessment.BAD}
         for engine, attempts, failures in rows:
-            said = assess(attempts, failures)
-            if said is Assessment.NONE:
+            reported = assess(attempts, failures)
+            if reported is Assessment.NONE:
                 continue
             own = self.observations.confident_assessment(now, engine)
-            if own is opposite[said]:
+            if own is opposite[reported]:
                 return True
             if own is Assessment.NONE:
-                like, unlike = self.count_reporters(now, engine, said, excluding=origin)
-                if unlike >= VOICES_LEAST and unlike > 2 * (like + 1):
+                agreeing, opposing = self.count_reporters(now, engine, reported, excluding=origin)
+                if opposing >= MIN_QUORUM and opposing > 2 * (agreeing + 1):
                     return True
         return False
 
-    def is_counted(self, now: float, voice: Reporter) -> bool:
-        """Fresh and credible enough to count as one voice."""
-        age = now - voice.reported_at
-        weight = 0.5 ** (max(0.0, age) / HALF_S)
-        return age < MAX_REPORT_AGE_S and voice.credibility_at(now) >= CREDIT_LEAST and weight >= LEAST_WEIGHT
+    def is_counted(self, now: float, reporter: Reporter) -> bool:
+        """Whether the reports of this member are recent and credible enough to count."""
+        age = now - reporter.reported_at
+        weight = 0.5 ** (max(0.0, age) / REPORT_HALF_LIFE_S)
+        return (
+            age < MAX_REPORT_AGE_S
+            and reporter.credibility_at(now) >= MIN_CREDIBILITY
+            and weight >= MIN_REPORT_WEIGHT
+        )
 
     def count_reporters(
-        self, now: float, engine: str, said: Assessment, excluding: str = ""
+        self, now: float, engine: str, reported: Assessment, excluding: str = ""
     ) -> tuple[int, int]:
-        """Voices of like word and of the opposite on one engine."""
-        like = unlike = 0
-        for origin, voice in self.reporters.items():
-            if origin == excluding or not self.is_counted(now, voice):
+        """Members whose reports on an engine agree with ``reported``, and members whose reports oppose it."""
+        agreeing = opposing = 0
+        for origin, reporter in self.reporters.items():
+            if origin == excluding or not self.is_counted(now, reporter):
                 continue
-            for name, attempts, failures in voice.rows:
-                if name == engine and (theirs := assess(attempts, failures)) is not Assessment.NONE:
-                    like += theirs is said
-                    unlike += theirs is not said
+            for name, attempts, failures in reporter.rows:
+                if name == engine and (assessment := assess(attempts, failures)) is not Assessment.NONE:
+                    agreeing += assessment is reported
+                    opposing += assessment is not reported
                     break
-        return like, unlike
+        return agreeing, opposing
 
     def tally(self, now: float) -> dict[str, tuple[int, int]]:
-        """By engine: members with a bad word and members with a good one, this one's own sight included."""
-        sums: dict[str, list[int]] = {}
-        for voice in self.reporters.values():
-            if not self.is_counted(now, voice):
+        """By engine: numbers of members that assess it as bad and as good, this member included."""
+        votes: dict[str, list[int]] = {}
+        for reporter in self.reporters.values():
+            if not self.is_counted(now, reporter):
                 continue
-            for engine in {one[0] for one in voice.rows}:
-                attempts, failures = next((a, f) for name, a, f in voice.rows if name == engine)
-                said = assess(attempts, failures)
-                if said is not Assessment.NONE:
-                    sums.setdefault(engine, [0, 0])[said is Assessment.GOOD] += 1
+            for engine in {row[0] for row in reporter.rows}:
+                attempts, failures = next((a, f) for name, a, f in reporter.rows if name == engine)
+                reported = assess(attempts, failures)
+                if reported is not Assessment.NONE:
+                    votes.setdefault(engine, [0, 0])[reported is Assessment.GOOD] += 1
         for engine in self.observations.engines:
             if (own := self.observations.assessment(now, engine)) is not Assessment.NONE:
-                sums.setdefault(engine, [0, 0])[own is Assessment.GOOD] += 1
-        return {engine: (bad, good) for engine, (bad, good) in sums.items()}
+                votes.setdefault(engine, [0, 0])[own is Assessment.GOOD] += 1
+        return {engine: (bad, good) for engine, (bad, good) in votes.items()}
 
     def failing_engines(self, now: float, listed: set[str], live_members: int) -> frozenset[str]:
-        """Engines that the group calls failing: what this gateway may believe on hearsay."""
-        needed = quorum(live_members)
-        found: list[tuple[float, int, str]] = []
+        """Engines that peer reports mark as failing, at most ``MAX_FAILING_SHARE`` of those listed.
+
+        Those with the highest share of failures in own attempts come first, then those that most members
+        report.
+        """
+        required = quorum(live_members)
+        candidates: list[tuple[float, int, str]] = []
         for engine, (bad, good) in self.tally(now).items():
-            if engine not in listed or bad < needed or bad <= good:
+            if engine not in listed or bad < required or bad <= good:
                 continue
             if self.observations.confident_assessment(now, engine) is Assessment.GOOD:
                 continue
             attempts, failures = self.observations.counts(now, engine)
-            found.append((-failures / attempts if attempts else 0.0, -bad, engine))
-        most = max(1, int(len(listed) * MOST_PART))
-        return frozenset(engine for _, _, engine in sorted(found)[:most])
+            candidates.append((-failures / attempts if attempts else 0.0, -bad, engine))
+        limit = max(1, int(len(listed) * MAX_FAILING_SHARE))
+        return frozenset(engine for _, _, engine in sorted(candidates)[:limit])
 
     def rows_to_report(self, now: float, listed: set[str], live_members: int) -> tuple[Row, ...]:
-        """What is worth saying: own bad words, and own good ones where others say bad.
+        """Rows for this member's next report: engines it assesses as bad, and as good where others say bad.
 
-        Of an engine on which enough members said the same already nothing more is said: in a large group that
-        keeps the traffic of one failing engine from growing with the members.
+        An engine that twice the quorum has reported alike is left out, so that in a large group the traffic
+        about one failing engine does not grow with the number of members.
         """
-        enough = 2 * quorum(live_members)
+        sufficient = 2 * quorum(live_members)
         rows: list[tuple[float, Row]] = []
         for engine in self.observations.engines:
             if engine not in listed:
                 continue
             attempts, failures = self.observations.counts(now, engine)
-            said = assess(attempts, failures)
-            if said is Assessment.NONE:
+            own = assess(attempts, failures)
+            if own is Assessment.NONE:
                 continue
-            like, unlike = self.count_reporters(now, engine, said)
-            if like < enough and (said is Assessment.BAD or unlike):
+            agreeing, opposing = self.count_reporters(now, engine, own)
+            if agreeing < sufficient and (own is Assessment.BAD or opposing):
                 rows.append((-failures / attempts, (engine, min(attempts, 10**6), min(failures, 10**6))))
         return tuple(row for _, row in sorted(rows)[:MOST_ROWS])
 
     def retain(self, now: float, names: set[str], engines: set[str]) -> None:
-        """What is kept of members and engines goes with them."""
-        self.reporters = {one: voice for one, voice in self.reporters.items() if one in names}
-        self.equivocations = {one: proof for one, proof in self.equivocations.items() if one in names}
+        """Keep only what concerns these members and these engines."""
+        self.reporters = {name: reporter for name, reporter in self.reporters.items() if name in names}
+        self.equivocations = {name: proof for name, proof in self.equivocations.items() if name in names}
         self.observations.retain(now, engines)
--- a/micahold/membership/prober.py
+++ b/micahold/membership/prober.py
@@ -1,8 +1,9 @@
-"""Whom to probe, and what became of it: randomised round robin, probes through others, nacks.
+"""Probes of the failure detector: targets by randomised round robin, indirect probes, and nacks.
 
-SWIM section 4.3: each member is probed once in every round, in an order shuffled anew for each; one that
-joins is put at a random place of the running round. Lifeguard: a member asked to probe for another says so
-where that one does not answer (nack), so that the asker can tell its own bad link from the target's.
+SWIM section 4.3: each member is probed once in every round, in an order shuffled anew for each round; a
+member that joins is inserted at a random position of the current round. Lifeguard: a member asked for an
+indirect probe answers with a nack when the target does not reply in time, so that the requester can tell its
+own bad link from an unreachable target.
 """
 
 from __future__ import annotations
@@ -11,14 +12,14 @@
 from math import inf
 from random import Random
 
-INDIRECT_PROBE_HELPERS = 3
-MAX_INDIRECT_PROBES = 256
-NACK_TIMEOUT_SHARE = 0.8  # of the probe time-out
+INDIRECT_PROBE_HELPERS = 3  # members asked to probe a target that did not acknowledge the direct probe
+MAX_INDIRECT_PROBES = 256  # made for other members at once; bounds memory
+NACK_TIMEOUT_SHARE = 0.8  # of the probe timeout, after which a nack goes to the requester
 
 
 @dataclass(slots=True)
 class Probe:
-    """One probe of ours that is out."""
+    """A probe by this member that is in flight; times are on the caller's clock."""
 
     nonce: int
     target: str
@@ -32,7 +33,7 @@
 
 @dataclass(slots=True)
 class IndirectProbe:
-    """A probe that we make for another member."""
+    """A probe that this member makes for another, the requester."""
 
     nonce: int
     requester: str
@@ -43,7 +44,7 @@
 
 
 class Prober:
-    """The round and the probes that are out; time and names come from the caller."""
+    """The current round and the probes in flight; the caller passes in the time and the members' names."""
 
     def __init__(self, random: Random) -> None:
         self.random = random
@@ -53,15 +54,16 @@
         self._nonce = random.getrandbits(40)
 
     def new_nonce(self) -> int:
+        """A number that identifies one probe of this member in its acks and nacks."""
         self._nonce += 1
         return self._nonce
 
     def add_to_round(self, name: str) -> None:
-        """Put it at a random place of what is left of the round."""
+        """Insert a new member at a random position of the rest of the round."""
         self.round.insert(self.random.randint(0, len(self.round)), name)
 
     def next_target(self, live_names: list[str]) -> str | None:
-        """The next of the round that lives; None where nobody else does."""
+        """The next member of the round that is still live; None where there is no other live member."""
         present = set(live_names)
         while self.round:
             name = self.round.pop()
@@ -72,26 +74,31 @@
         return self.round.pop() if self.round else None
 
     def start_probe(self, now: float, target: str, timeout: float, period: float) -> Probe:
+        """Start a probe: indirect probes are due after ``timeout``, and it fails after ``period`` seconds."""
         probe = Probe(self.new_nonce(), target, now, now + timeout, now + period)
         self.probes[probe.nonce] = probe
         return probe
 
     def choose_helpers(self, probe: Probe, live_names: list[str]) -> list[str]:
-        """Members to probe through; marks the probe as asked."""
+        """Pick the members to send indirect probe requests to, and mark the requests as sent."""
         probe.indirect_sent = True
-        others = [one for one in live_names if one != probe.target]
-        chosen = self.random.sample(others, min(INDIRECT_PROBE_HELPERS, len(others)))
+        candidates = [name for name in live_names if name != probe.target]
+        chosen = self.random.sample(candidates, min(INDIRECT_PROBE_HELPERS, len(candidates)))
         probe.helpers = set(chosen)
         return chosen
 
     def handle_ack(self, nonce: int, sender: str) -> Probe | IndirectProbe | None:
-        """What this ack ends; None where it is too late, or from one who was not asked."""
+        """The probe that this ack completes; None where it is late or its sender was not asked.
+
+        A probe of this member is completed by a direct ack of the target or by one that a helper passes on.
+        """
         probe = self.probes.get(nonce)
         if probe is not None and (sender == probe.target or sender in probe.helpers):
             return self.probes.pop(nonce)
         return self.indirect_probes.pop(nonce, None)
 
     def handle_nack(self, nonce: int, sender: str) -> None:
+        """Count a nack from a helper of this probe."""
         probe = self.probes.get(nonce)
         if probe is not None and sender in probe.helpers:
             probe.nacks += 1
@@ -99,7 +106,7 @@
     def start_indirect_probe(
         self, now: float, requester: str, requester_nonce: int, timeout: float, period: float
     ) -> IndirectProbe | None:
-        """None where too many are open already."""
+        """Start a probe for another member; None where too many are in flight already."""
         if len(self.indirect_probes) >= MAX_INDIRECT_PROBES:
             return None
         indirect = IndirectProbe(
@@ -109,34 +116,44 @@
         return indirect
 
     def due_for_indirect_probes(self, now: float) -> list[Probe]:
-        return [one for one in self.probes.values() if not one.indirect_sent and now >= one.indirect_at]
+        """Probes whose timeout has passed and whose indirect probes have not been requested yet."""
+        return [
+            probe for probe in self.probes.values() if not probe.indirect_sent and now >= probe.indirect_at
+        ]
 
     def take_failed(self, now: float) -> list[Probe]:
-        """Probes that failed; they are out no more."""
-        over = [one for one in self.probes.values() if now >= one.ends_at]
-        for probe in over:
+        """Remove the probes that ended without an ack, and return them."""
+        failed = [probe for probe in self.probes.values() if now >= probe.ends_at]
+        for probe in failed:
             del self.probes[probe.nonce]
-        return over
+        return failed
 
     def take_due_nacks(self, now: float) -> list[IndirectProbe]:
-        """Relays whose target has not answered so far; those that are over are dropped."""
-        for indirect in [one for one in self.indirect_probes.values() if now >= one.ends_at]:
+        """Indirect probes whose nack is due now, each returned once; those that have ended are removed."""
+        for indirect in [probe for probe in self.indirect_probes.values() if now >= probe.ends_at]:
             del self.indirect_probes[indirect.nonce]
-        due = [one for one in self.indirect_probes.values() if not one.nack_sent and now >= one.nack_at]
+        due = [
+            probe for probe in self.indirect_probes.values() if not probe.nack_sent and now >= probe.nack_at
+        ]
         for indirect in due:
             indirect.nack_sent = True
         return due
 
-    def postpone(self, delay_s: float) -> None:
-        """This member itself stood still: every wait grows by that."""
+    def postpone(self, stall_s: float) -> None:
+        """Extend every deadline by the time for which this process was stalled."""
         for probe in self.probes.values():
-            probe.indirect_at += delay_s
-            probe.ends_at += delay_s
+            probe.indirect_at += stall_s
+            probe.ends_at += stall_s
         for indirect in self.indirect_probes.values():
-            indirect.nack_at += delay_s
-            indirect.ends_at += delay_s
+            indirect.nack_at += stall_s
+            indirect.ends_at += stall_s
 
     def due(self) -> float:
-        times = [one.ends_at if one.indirect_sent else one.indirect_at for one in self.probes.values()]
-        times += [one.ends_at if one.nack_sent else one.nack_at for one in self.indirect_probes.values()]
+        """Time of the next deadline of any probe, infinity where none is in flight."""
+        times = [
+            probe.ends_at if probe.indirect_sent else probe.indirect_at for probe in self.probes.values()
+        ]
+        times += [
+            probe.ends_at if probe.nack_sent else probe.nack_at for probe in self.indirect_probes.values()
+        ]
         return min(times, default=inf)
