--- a/micahold/membership/__init__.py
+++ b/micahold/membership/__init__.py
@@ -1,5 +1,5 @@
-"""Instances find each other, know who lives, and share what they saw of engines.
+"""Gossip membership: instances discover each other, detect failed ones, and share what they see of engines.
 
-Pure cores (``group`` joins them) with thin I/O around: ``signing``, ``service``. docs/gossip.md is the
-design.
+The modules are pure and joined by ``group``; only ``signing`` and ``service`` do cryptography and I/O.
+docs/gossip.md describes the design.
 """
--- a/micahold/membership/failure_reports.py
+++ b/micahold/membership/failure_reports.py
@@ -6,7 +6,7 @@
 observations overrule the group. A member that contradicts this member's observations, or a clear majority of
 the others, loses credibility at once and regains it slowly. Two different reports under one sequence number
 prove equivocation: both are kept and forwarded, and that member's reports no longer count. Peer reports can
-report_id only a bounded share of the engines at once.
+mark only a bounded share of the engines at once.
 """
 
 from __future__ import annotations
@@ -23,15 +23,15 @@
 MAX_GOOD_SHARE = 0.1  # share of failed attempts up to which an engine is assessed as good
 MIN_ATTEMPTS = 2  # fewer attempts than this give no assessment
 MIN_CONFIDENT_ATTEMPTS = 3  # from this many, own observations overrule the reports of others
-MIN_QUORUM = 3
-MAX_QUORUM = 7
+MIN_QUORUM = 3  # members; two that collude never form a quorum
+MAX_QUORUM = 7  # members; more are not required in a large group
 MAX_REPORT_AGE_S = 6.0  # older reports are ignored
 REPORT_HALF_LIFE_S = 3.0  # half-life of a report's weight
-MIN_REPORT_WEIGHT = 0.25
+MIN_REPORT_WEIGHT = 0.25  # a report whose weight has decayed below this does not count
 CREDIBILITY_KEPT = 0.7  # factor by which a contradiction reduces a member's credibility
-CREDIBILITY_GAIN_PER_S = 0.01
+CREDIBILITY_GAIN_PER_S = 0.01  # recovery, slow against the loss at a contradiction
 MIN_CREDIBILITY = 0.5  # reports of a member below this do not count
-MAX_FAILING_SHARE = 1 / 4  # of the listed engines that peer reports may report_id as failing, one at least
+MAX_FAILING_SHARE = 1 / 4  # of the listed engines that peer reports may mark as failing, one at least
 KEPT_REPORTS = 4  # recent reports kept of each member, to detect equivocation
 
 
@@ -140,7 +140,7 @@
         self.equivocations: dict[str, tuple[Signed, Signed]] = {}
 
     def add_report(self, now: float, signed: Signed, testimony: Testimony, made_at: float) -> bool:
-        """Apply a report, made at ``made_at`` by the local clock; return whether it must be forwarded.
+        """Apply a report, made at ``made_at`` by the local clock; return whether it was new.
 
         The caller has verified its signature and checked its age. A report that is older than the latest one
         of its origin changes nothing, but may prove equivocation.
--- a/micahold/membership/member_list.py
+++ b/micahold/membership/member_list.py
@@ -145,7 +145,7 @@
         self._live_names: list[str] | None = None
         self.version = 0  # increases with every change of the members or of their status
 
-    # Queries
+    # Lookups
 
     def live_names(self) -> list[str]:
         """Names of the alive and suspected members, in a stable order; callers must not modify the list."""
--- a/tests/test_membership_machine.py
+++ b/tests/test_membership_machine.py
@@ -1,4 +1,4 @@
-"""A state machine over three to six members, one of them a liar: what must hold whatever happens."""
+"""State machine test of three to six members, one of which lies, under cuts, stalls and restarts."""
 
 from __future__ import annotations
 
@@ -20,35 +20,37 @@
 from micahold.membership.wire import Record, Signed
 
 ENGINES = {"e1", "e2", "e3"}
-RATE = 4096  # bytes a second: the least that may be set, and it binds in so small a group
-SETTLED_S = 45.0  # a suspicion with nobody to confirm it lasts 30 s in so small a group
+RATE_BYTES_PER_S = 4096  # the smallest rate that can be set; low enough to bind in a group of this size
+SETTLED_S = 45.0  # an unconfirmed suspicion lasts 30 s in a group of this size
 
 
-class Watched(Group):
-    """Keeps the moments and bytes of what left."""
+class RecordingGroup(Group):
+    """Records the time and size of each datagram sent."""
 
     def __init__(self, *arguments: Any) -> None:
         super().__init__(*arguments)
-        self.left: list[tuple[float, int]] = []
+        self.sent_sizes: list[tuple[float, int]] = []
 
     def _send(self, now: float, *arguments: Any) -> bool:
         before = len(self.outbox)
         sent = super()._send(now, *arguments)
-        self.left += [(now, len(one.data)) for one in self.outbox[before:]]
+        self.sent_sizes += [(now, len(datagram.data)) for datagram in self.outbox[before:]]
         return sent
 
 
-class Groups(RuleBasedStateMachine):
-    """Members m0 ... ; the last slanders every engine."""
+class MembershipMachine(RuleBasedStateMachine):
+    """Members m0, m1, ...; the last one reports every engine as failing."""
 
     @initialize(number=st.integers(3, 6), seed=st.integers(0, 1000))
     def begin(self, number: int, seed: int) -> None:
         self.net = Network(seed=seed)
         last = f"m{number - 1}"
-        self.net.group(number, lambda name: liars.Slanderer if name == last else Watched, rate=RATE)
+        self.net.group(
+            number, lambda name: liars.Slanderer if name == last else RecordingGroup, rate=RATE_BYTES_PER_S
+        )
         self.keyring = quick_keyring(self.net.nodes)
-        self.highest: dict[tuple[str, int, str], int] = {}
-        self.troubled = self.net.now
+        self.highest_incarnations: dict[tuple[str, int, str], int] = {}
+        self.disturbed_until = self.net.now
         self.run_for(5.0)
 
     def run_for(self, seconds: float) -> None:
@@ -57,91 +59,91 @@
         self.net.run(seconds)
 
     def honest(self) -> list[Node]:
-        return [one for one in self.net.living() if isinstance(one.group, Watched)]
+        return [node for node in self.net.living() if isinstance(node.group, RecordingGroup)]
 
     @rule(seconds=st.sampled_from([0.3, 2.0, 7.0, 20.0]))
     def time_passes(self, seconds: float) -> None:
         self.run_for(seconds)
 
-    @rule(one=st.integers(0, 5), other=st.integers(0, 5), one_way=st.booleans())
-    def cut(self, one: int, other: int, one_way: bool) -> None:
+    @rule(first=st.integers(0, 5), second=st.integers(0, 5), one_way=st.booleans())
+    def cut(self, first: int, second: int, one_way: bool) -> None:
         names = sorted(self.net.nodes)
-        self.net.cut([names[one % len(names)]], [names[other % len(names)]], one_way)
-        self.troubled = float("inf")
+        self.net.cut([names[first % len(names)]], [names[second % len(names)]], one_way)
+        self.disturbed_until = float("inf")
 
     @rule()
     def heal(self) -> None:
         self.net.heal()
-        self.troubled = self.net.now
+        self.disturbed_until = self.net.now
 
-    @rule(one=st.integers(0, 5), seconds=st.sampled_from([0.5, 2.0, 5.0]))
-    def stall(self, one: int, seconds: float) -> None:
+    @rule(index=st.integers(0, 5), seconds=st.sampled_from([0.5, 2.0, 5.0]))
+    def stall(self, index: int, seconds: float) -> None:
         names = sorted(self.net.nodes)
-        self.net.stall(names[one % len(names)], seconds)
-        self.troubled = max(self.troubled, self.net.now + seconds)
+        self.net.stall(names[index % len(names)], seconds)
+        self.disturbed_until = max(self.disturbed_until, self.net.now + seconds)
 
-    @rule(one=st.integers(0, 5), pause=st.sampled_from([0.05, 3.0]))
-    def restart(self, one: int, pause: float) -> None:
+    @rule(index=st.integers(0, 5), pause=st.sampled_from([0.05, 3.0]))
+    def restart(self, index: int, pause: float) -> None:
         names = sorted(self.net.nodes)
-        name = names[one % len(names)]
+        name = names[index % len(names)]
         maker = type(self.net.nodes[name].group)
         self.net.kill(name)
         self.run_for(pause)
         seeds = [node.address for node in self.net.nodes.values() if node.name != name]
-        self.net.add(name, self.keyring, seeds, maker, rate=RATE)
-        if self.troubled < float("inf"):
-            self.troubled = max(self.troubled, self.net.now)
+        self.net.add(name, self.keyring, seeds, maker, rate=RATE_BYTES_PER_S)
+        if self.disturbed_until < float("inf"):
+            self.disturbed_until = max(self.disturbed_until, self.net.now)
 
-    @rule(one=st.integers(0, 5), engine=st.sampled_from(sorted(ENGINES)))
-    def an_attempt_goes_well(self, one: int, engine: str) -> None:
+    @rule(index=st.integers(0, 5), engine=st.sampled_from(sorted(ENGINES)))
+    def attempt_succeeds(self, index: int, engine: str) -> None:
         honest = self.honest()
         if honest:
-            node = honest[one % len(honest)]
+            node = honest[index % len(honest)]
             node.group.attempt_ended(self.net.now, engine, False)
 
     @invariant()
-    def incarnations_never_fall(self) -> None:
+    def incarnations_never_decrease(self) -> None:
         for node in self.net.nodes.values():
             for member in node.group.member_list:
                 key = (node.name, node.life, member.name)
-                assert member.record.incarnation >= self.highest.get(key, 0)
-                self.highest[key] = member.record.incarnation
+                assert member.record.incarnation >= self.highest_incarnations.get(key, 0)
+                self.highest_incarnations[key] = member.record.incarnation
 
     @invariant()
-    def nobody_is_dead_without_a_suspicion_that_ran_out(self) -> None:
+    def no_death_without_an_expired_suspicion(self) -> None:
         for node in self.net.nodes.values():
             for at, change in node.news:
                 if change.after is Status.DEAD:
                     assert change.before is Status.SUSPECT and change.reason == "suspicion ran out"
                     suspected = [
                         when
-                        for when, one in node.news
-                        if one.name == change.name and one.after is Status.SUSPECT and when <= at
+                        for when, earlier in node.news
+                        if earlier.name == change.name and earlier.after is Status.SUSPECT and when <= at
                     ]
-                    begun = max(suspected)
-                    assert at >= begun + 5.0 - 1e-6
+                    suspected_at = max(suspected)
+                    assert at >= suspected_at + 5.0 - 1e-6
 
     @invariant()
-    def who_lives_and_can_be_reached_is_not_buried(self) -> None:
+    def reachable_members_are_not_declared_dead(self) -> None:
         for node in self.net.living():
             for at, change in node.news:
-                if change.after is Status.DEAD and at > self.troubled + SETTLED_S:
+                if change.after is Status.DEAD and at > self.disturbed_until + SETTLED_S:
                     assert not self.net.nodes[change.name].up
 
     @invariant()
-    def one_members_word_alone_changes_no_decision(self) -> None:
+    def reports_of_one_member_change_no_decision(self) -> None:
         for node in self.honest():
             assert not node.group.verdict.failing and not node.group.verdict.draining
 
     @invariant()
-    def the_limit_holds_in_every_window(self) -> None:
+    def traffic_stays_within_the_rate_in_every_window(self) -> None:
         for node in self.net.nodes.values():
-            if isinstance(node.group, Watched):
-                left, first, total = node.group.left, 0, 0
-                for at, size in left:
+            if isinstance(node.group, RecordingGroup):
+                sent_sizes, first, total = node.group.sent_sizes, 0, 0
+                for at, size in sent_sizes:
                     total += size
-                    while left[first][0] < at - RATE_WINDOW_S:
-                        total -= left[first][1]
+                    while sent_sizes[first][0] < at - RATE_WINDOW_S:
+                        total -= sent_sizes[first][1]
                         first += 1
                     assert total <= node.group.options.rate
 
@@ -150,70 +152,70 @@
             return
         self.net.heal()
         assert self.net.run_until(self.net.agree, 180, 1.0) is not None, (
-            "views do not agree after the network healed"
+            "member lists do not converge after the network healed"
         )
 
 
-Groups.TestCase.settings = settings(
+MembershipMachine.TestCase.settings = settings(
     max_examples=30, stateful_step_count=20, deadline=None, derandomize=True, phases=[Phase.generate]
 )
-TestGroups = Groups.TestCase
+TestMembershipMachine = MembershipMachine.TestCase
 
 
-# The machine can fail: faults that are planted are found
+# Mutation tests: the machine finds faults that are planted in the membership.
 
 
 def _quorum_of_one(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(failure_reports, "quorum", lambda living: 1)
+    patch.setattr(failure_reports, "quorum", lambda live_members: 1)
 
 
-def _no_limit(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(EgressLimiter, "available_bytes", lambda self, now, level: 10**6)
+def _no_rate_limit(patch: pytest.MonkeyPatch) -> None:
+    patch.setattr(EgressLimiter, "available_bytes", lambda self, now, priority: 10**6)
 
 
-def _no_patience(patch: pytest.MonkeyPatch) -> None:
+def _short_suspicions(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(member_list, "MIN_SUSPICION_PERIODS", 1.0)
 
 
 def _no_refutation(patch: pytest.MonkeyPatch) -> None:
-    plain = Group._renew
+    original = Group._renew
 
-    def renew(group: Group, now: float, level: Priority, left: bool = False) -> None:
+    def renew(group: Group, now: float, priority: Priority, left: bool = False) -> None:
         if left:
-            plain(group, now, level, left)
+            original(group, now, priority, left)
 
     patch.setattr(Group, "_renew", renew)
 
 
-def _old_records_count(patch: pytest.MonkeyPatch) -> None:
-    plain = MemberList.apply_record
+def _old_records_accepted(patch: pytest.MonkeyPatch) -> None:
+    original = MemberList.apply_record
 
-    def learn(
+    def apply_record(
         self: MemberList, now: float, signed: Signed, record: Record
     ) -> tuple[bool, list[StatusChange]]:
         if (member := self.members.get(signed.origin)) is not None:
             member.record = replace(member.record, incarnation=0)
-        return plain(self, now, signed, record)
+        return original(self, now, signed, record)
 
-    patch.setattr(MemberList, "apply_record", learn)
-    patch.setattr(Group, "_hear_record", _hear_any)
+    patch.setattr(MemberList, "apply_record", apply_record)
+    patch.setattr(Group, "_hear_record", _apply_any_record)
 
 
-def _hear_any(self: Group, now: float, signed: Signed, record: Record) -> None:
+def _apply_any_record(self: Group, now: float, signed: Signed, record: Record) -> None:
     if signed.origin != self.options.name:
         self.member_list.apply_record(now, signed, record)
 
 
 @pytest.mark.parametrize(
     "plant",
-    [_quorum_of_one, _no_limit, _no_patience, _no_refutation, _old_records_count],
-    ids=lambda one: one.__name__,
+    [_quorum_of_one, _no_rate_limit, _short_suspicions, _no_refutation, _old_records_accepted],
+    ids=lambda plant: plant.__name__,
 )
 def test_a_planted_fault_is_found(
     plant: Callable[[pytest.MonkeyPatch], None], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     plant(monkeypatch)
-    found = settings(max_examples=150, stateful_step_count=30, derandomize=True, deadline=None,
+    search = settings(max_examples=150, stateful_step_count=30, derandomize=True, deadline=None,
                      phases=[Phase.generate], report_multiple_bugs=False)  # fmt: skip
     with pytest.raises(AssertionError):
-        run_state_machine_as_test(Groups, settings=found)
+        run_state_machine_as_test(MembershipMachine, settings=search)
