--- a/micahold/membership/controller_adapter.py
+++ b/micahold/membership/controller_adapter.py
@@ -15,7 +15,7 @@
     {api.Outcome.ERROR, api.Outcome.CONNECT_FAILED, api.Outcome.RESET, api.Outcome.TIMEOUT}
 )
 # These outcomes say nothing about the engine.
-IGNORED_OUTCOMES = frozenset({api.Outcome.FULL, api.Outcome.CANCELLED, api.Outcome.MOOT})
+IGNORED_OUTCOMES = frozenset({api.Outcome.FULL, api.Outcome.CANCELLED, api.Outcome.NOT_STARTED})
 
 
 class ControllerAdapter:
@@ -61,7 +61,7 @@
             reports = (verdict.failing, verdict.draining)
             last_reports = (last.failing, last.draining) if last is not None else (frozenset(), frozenset())
             if reports != last_reports or (any(reports) and now >= self._reported_at + REPEAT_INTERVAL_S):
-                events.append(api.Hearsay(*reports, verdict.until))
+                events.append(api.PeerReport(*reports, verdict.until))
                 self._reported_at = now
         self._last_verdict = verdict
         return events
