--- a/micahold/chronicle/clocks.py
+++ b/micahold/chronicle/clocks.py
@@ -21,60 +21,64 @@
 from math import inf
 
 WINDOW_S = 10.0
-DRIFT = 200e-6  # seconds a second: a poor quartz
-MOST_SPLITS = 64
+DRIFT_BOUND = 200e-6  # seconds a second: a poor quartz
+MAX_EPOCH_SPLITS = 64
 
 Node = tuple[str, int]  # clock, window of its own time
 
 
 @dataclass(slots=True, frozen=True)
-class Before:
-    """By true time ``early_at`` on clock ``early`` came before ``late_at`` on clock ``late``, ``least`` s at
-    least.
+class HappenedBefore:
+    """By true time ``early_time_s`` on clock ``early_clock`` came before ``late_time_s`` on
+    clock ``late_clock``, ``min_delay_s`` at least.
     """
 
-    early: str
-    early_at: float
-    late: str
-    late_at: float
-    least: float = 0.0
-    why: str = ""
+    early_clock: str
+    early_time_s: float
+    late_clock: str
+    late_time_s: float
+    min_delay_s: float = 0.0
+    reason: str = ""
 
 
 @dataclass(slots=True, frozen=True)
 class Interval:
     """True time lies within, both ends included; seconds."""
 
-    low: float
-    high: float
+    low_s: float
+    high_s: float
 
-    def before(self, other: Interval) -> bool | None:
+    def precedes(self, other: Interval) -> bool | None:
         """None where the order is not known."""
-        if self.high < other.low:
+        if self.high_s < other.low_s:
             return True
-        return False if other.high < self.low else None
+        return False if other.high_s < self.low_s else None
 
 
 @dataclass(slots=True, frozen=True)
-class Jump:
+class ClockJump:
     """A clock that contradicts itself from this window on, by its own time."""
 
     clock: str
-    at: float
+    time_s: float
 
 
-class Clocks:
-    """``reference`` is the clock whose own time is called true; others are told relative to it."""
+class ClockOffsets:
+    """``reference_clock`` is the clock whose own time is called true; others are told relative to it."""
 
     def __init__(
-        self, reference: str, pairs: Iterable[Before], drift: float = DRIFT, window: float = WINDOW_S
+        self,
+        reference_clock: str,
+        ordered_pairs: Iterable[HappenedBefore],
+        drift_bound: float = DRIFT_BOUND,
+        window_s: float = WINDOW_S,
     ) -> None:
-        self.reference, self.drift, self.window = reference, drift, window
-        self.pairs = list(pairs)
-        self.jumps: list[Jump] = []
+        self.reference_clock, self.drift_bound, self.window_s = reference_clock, drift_bound, window_s
+        self.ordered_pairs = list(ordered_pairs)
+        self.jumps: list[ClockJump] = []
         self._epochs: dict[str, list[float]] = {}
         self._bounds: dict[Node, tuple[float, float]] = {}
-        for _ in range(MOST_SPLITS):
+        for _ in range(MAX_EPOCH_SPLITS):
             cycle = self._solve()
             if cycle is None:
                 break
@@ -82,8 +86,8 @@
 
     # The graph: an edge (u, v, w) says offset(v) - offset(u) <= w
 
-    def node(self, clock: str, at: float) -> Node:
-        return clock, int(at // self.window)
+    def node(self, clock: str, time_s: float) -> Node:
+        return clock, int(time_s // self.window_s)
 
     def _edges(self) -> dict[tuple[Node, Node], float]:
         edges: dict[tuple[Node, Node], float] = {}
@@ -92,12 +96,15 @@
             edges[one, other] = min(most, edges.get((one, other), inf))
 
         nodes: set[Node] = set()
-        for pair in self.pairs:
-            early, late = self.node(pair.early, pair.early_at), self.node(pair.late, pair.late_at)
+        for pair in self.ordered_pairs:
+            early, late = (
+                self.node(pair.early_clock, pair.early_time_s),
+                self.node(pair.late_clock, pair.late_time_s),
+            )
             nodes |= {early, late}
             # early_at + offset(early) + least <= late_at + offset(late)
-            slack = self.drift * self.window  # a node stands for the middle of its window
-            bound(late, early, pair.late_at - pair.early_at - pair.least + slack)
+            slack = self.drift_bound * self.window_s  # a node stands for the middle of its window
+            bound(late, early, pair.late_time_s - pair.early_time_s - pair.min_delay_s + slack)
         by_clock: dict[str, list[int]] = {}
         for clock, number in nodes:
             by_clock.setdefault(clock, []).append(number)
@@ -105,19 +112,23 @@
             numbers.sort()
             for one, other in pairwise(numbers):
                 if self._epoch(clock, one) == self._epoch(clock, other):
-                    most = 0.0 if clock == self.reference else self.drift * self.window * (other - one + 1)
+                    most = (
+                        0.0
+                        if clock == self.reference_clock
+                        else self.drift_bound * self.window_s * (other - one + 1)
+                    )
                     bound((clock, one), (clock, other), most)
                     bound((clock, other), (clock, one), most)
         return edges
 
     def _epoch(self, clock: str, number: int) -> int:
-        return sum(number * self.window >= at for at in self._epochs.get(clock, ()))
+        return sum(number * self.window_s >= at for at in self._epochs.get(clock, ()))
 
     def _solve(self) -> list[Node] | None:
         """Bounds of each node, or the nodes of a negative cycle."""
         edges = self._edges()
         nodes = {one for pair in edges for one in pair}
-        origin = [one for one in nodes if one[0] == self.reference and self._epoch(*one) == 0]
+        origin = [one for one in nodes if one[0] == self.reference_clock and self._epoch(*one) == 0]
         cycle = self._cycle(nodes, edges)
         if cycle is not None:
             return cycle
@@ -167,38 +178,42 @@
     def _split(self, cycle: list[Node]) -> None:
         """The clock with the most windows on the cycle, the reference only if alone, jumped there."""
         windows = Counter(clock for clock, _ in cycle)
-        blamed = max(windows, key=lambda one: (one != self.reference, windows[one]))
+        blamed = max(windows, key=lambda one: (one != self.reference_clock, windows[one]))
         numbers = sorted({number for clock, number in cycle if clock == blamed})
-        at = numbers[-1] * self.window
+        at = numbers[-1] * self.window_s
         epochs = self._epochs.setdefault(blamed, [])
         if at in epochs:
             # Within one window: the pairs of that window can't be used at all.
             inside = set(cycle)
-            self.pairs = [
+            self.ordered_pairs = [
                 one
-                for one in self.pairs
-                if not {self.node(one.early, one.early_at), self.node(one.late, one.late_at)} <= inside
+                for one in self.ordered_pairs
+                if not {
+                    self.node(one.early_clock, one.early_time_s),
+                    self.node(one.late_clock, one.late_time_s),
+                }
+                <= inside
             ]
         else:
             epochs.append(at)
-            self.jumps.append(Jump(blamed, at))
+            self.jumps.append(ClockJump(blamed, at))
 
     # Answers
 
-    def offset(self, clock: str, at: float) -> Interval:
-        """What has to be added to that clock's own time ``at``; infinite ends where nothing bounds it."""
-        if clock == self.reference and not self._epochs.get(clock):
+    def offset(self, clock: str, time_s: float) -> Interval:
+        """What has to be added to that clock's own time ``time_s``; infinite ends where nothing bounds it."""
+        if clock == self.reference_clock and not self._epochs.get(clock):
             return Interval(0.0, 0.0)
-        node = self.node(clock, at)
+        node = self.node(clock, time_s)
         epoch = self._epoch(*node)
         known = [one for one in self._bounds if one[0] == clock and self._epoch(*one) == epoch]
         low, high = -inf, inf
         for one in known:
-            apart = self.drift * self.window * (abs(one[1] - node[1]) + 1)
+            apart = self.drift_bound * self.window_s * (abs(one[1] - node[1]) + 1)
             low, high = max(low, self._bounds[one][0] - apart), min(high, self._bounds[one][1] + apart)
         return Interval(low, high)
 
-    def when(self, clock: str, at: float) -> Interval:
+    def true_time(self, clock: str, time_s: float) -> Interval:
         """True time of a moment on that clock."""
-        offset = self.offset(clock, at)
-        return Interval(at + offset.low, at + offset.high)
+        offset = self.offset(clock, time_s)
+        return Interval(time_s + offset.low_s, time_s + offset.high_s)
--- a/micahold/chronicle/frames.py
+++ b/micahold/chronicle/frames.py
@@ -15,12 +15,12 @@
 
 import google_crc32c
 
-MAGIC, VERSION = b"MCHR", 1
-MARKER = b"\xc5\x7e"
-HEAD = Struct(">4sBxxx16sIQ")  # magic, version, run, number of the segment, first sequence
-FRAME = Struct(">2sHBBQI")  # marker, payload length, kind, 0, sequence, CRC
-MOST_PAYLOAD = 60_000
-FARTHEST = 1 << 24  # sequences that may be missing between two whole frames
+MAGIC, FORMAT_VERSION = b"MCHR", 1
+FRAME_MARKER = b"\xc5\x7e"
+HEADER_STRUCT = Struct(">4sBxxx16sIQ")  # magic, version, run, number of the segment, first sequence
+FRAME_STRUCT = Struct(">2sHBBQI")  # marker, payload length, kind, 0, sequence_number, CRC
+MAX_PAYLOAD_BYTES = 60_000
+MAX_SEQUENCE_GAP = 1 << 24  # sequences that may be missing between two whole frames
 
 
 class SegmentError(Exception):
@@ -28,93 +28,106 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Header:
-    """The first bytes of a segment; ``run`` is 16 bytes."""
+class SegmentHeader:
+    """The first bytes of a segment; ``run_id`` is 16 bytes."""
 
-    run: bytes
-    number: int
-    first: int
+    run_id: bytes
+    segment_number: int
+    first_sequence_number: int
 
     def encode(self) -> bytes:
-        data = HEAD.pack(MAGIC, VERSION, self.run, self.number, self.first)
+        data = HEADER_STRUCT.pack(
+            MAGIC, FORMAT_VERSION, self.run_id, self.segment_number, self.first_sequence_number
+        )
         return data + _crc(data).to_bytes(4, "big")
 
 
-HEADER_SIZE = HEAD.size + 4
+SEGMENT_HEADER_BYTES = HEADER_STRUCT.size + 4
 
 
 @dataclass(slots=True, frozen=True)
 class Frame:
     """One whole record, still encoded, and the offset behind it."""
 
-    sequence: int
+    sequence_number: int
     kind: int
     payload: bytes
-    end: int
+    end_offset: int
 
 
 @dataclass(slots=True, frozen=True)
 class Gap:
-    """Damage from ``begin`` to ``end``; ``lost`` records, None at the end of the data: nobody can tell."""
+    """Damage from ``start_offset`` to ``end_offset``; ``lost_records`` records, None at the end of the data:
+    nobody can tell.
+    """
 
-    begin: int
-    end: int
-    lost: int | None
+    start_offset: int
+    end_offset: int
+    lost_records: int | None
 
 
 def _crc(data: bytes) -> int:
     return int(google_crc32c.value(data))
 
 
-def encode_frame(run: bytes, sequence: int, kind: int, payload: bytes) -> bytes:
+def encode_frame(run_id: bytes, sequence_number: int, kind: int, payload: bytes) -> bytes:
     """The bytes of one frame; ``ValueError`` where the payload is too long for one."""
-    if len(payload) > MOST_PAYLOAD:
+    if len(payload) > MAX_PAYLOAD_BYTES:
         raise ValueError(f"{len(payload)} bytes of payload")
-    bare = FRAME.pack(MARKER, len(payload), kind, 0, sequence, 0)
-    return FRAME.pack(MARKER, len(payload), kind, 0, sequence, _crc(run + bare + payload)) + payload
+    bare = FRAME_STRUCT.pack(FRAME_MARKER, len(payload), kind, 0, sequence_number, 0)
+    return (
+        FRAME_STRUCT.pack(FRAME_MARKER, len(payload), kind, 0, sequence_number, _crc(run_id + bare + payload))
+        + payload
+    )
 
 
-def read_header(data: bytes) -> Header:
+def decode_header(data: bytes) -> SegmentHeader:
     """``SegmentError`` where it is none, or damaged."""
-    if len(data) < HEADER_SIZE:
+    if len(data) < SEGMENT_HEADER_BYTES:
         raise SegmentError("too short for a header")
-    magic, version, run, number, first = HEAD.unpack_from(data)
+    magic, version, run, number, first = HEADER_STRUCT.unpack_from(data)
     if magic != MAGIC:
         raise SegmentError("no segment")
-    if _crc(data[: HEAD.size]) != int.from_bytes(data[HEAD.size : HEADER_SIZE], "big"):
+    if _crc(data[: HEADER_STRUCT.size]) != int.from_bytes(
+        data[HEADER_STRUCT.size : SEGMENT_HEADER_BYTES], "big"
+    ):
         raise SegmentError("damaged header")
-    if version != VERSION:
+    if version != FORMAT_VERSION:
         raise SegmentError(f"version {version}")
-    return Header(run, number, first)
+    return SegmentHeader(run, number, first)
 
 
 def _frame_at(data: bytes, at: int, run: bytes, least: int) -> Frame | None:
     """The whole frame that begins there, if its sequence is one that may come next."""
-    if at + FRAME.size > len(data) or data[at : at + 2] != MARKER:
+    if at + FRAME_STRUCT.size > len(data) or data[at : at + 2] != FRAME_MARKER:
         return None
-    _, length, kind, spare, sequence, crc = FRAME.unpack_from(data, at)
-    end = at + FRAME.size + length
-    if length > MOST_PAYLOAD or end > len(data) or not least <= sequence < least + FARTHEST:
+    _, length, kind, spare, sequence, crc = FRAME_STRUCT.unpack_from(data, at)
+    end = at + FRAME_STRUCT.size + length
+    if length > MAX_PAYLOAD_BYTES or end > len(data) or not least <= sequence < least + MAX_SEQUENCE_GAP:
         return None
-    payload = data[at + FRAME.size : end]
-    if _crc(run + FRAME.pack(MARKER, length, kind, spare, sequence, 0) + payload) != crc:
+    payload = data[at + FRAME_STRUCT.size : end]
+    if _crc(run + FRAME_STRUCT.pack(FRAME_MARKER, length, kind, spare, sequence, 0) + payload) != crc:
         return None
     return Frame(sequence, kind, payload, end)
 
 
-def scan(data: bytes, run: bytes, at: int = HEADER_SIZE, least: int = 0) -> Iterator[Frame | Gap]:
-    """Whole frames in order, and the damage between; ``least`` is the first sequence that may come."""
-    while at < len(data):
-        frame = _frame_at(data, at, run, least)
+def scan_frames(
+    data: bytes, run_id: bytes, offset: int = SEGMENT_HEADER_BYTES, min_sequence_number: int = 0
+) -> Iterator[Frame | Gap]:
+    """Whole frames in order, and the damage between; ``min_sequence_number`` is the first sequence that may
+    come.
+    """
+    while offset < len(data):
+        frame = _frame_at(data, offset, run_id, min_sequence_number)
         if frame is None:
-            found = data.find(MARKER, at + 1)
-            while found >= 0 and (frame := _frame_at(data, found, run, least)) is None:
-                found = data.find(MARKER, found + 1)
+            found = data.find(FRAME_MARKER, offset + 1)
+            while found >= 0 and (frame := _frame_at(data, found, run_id, min_sequence_number)) is None:
+                found = data.find(FRAME_MARKER, found + 1)
             if frame is None:
-                yield Gap(at, len(data), None)
+                yield Gap(offset, len(data), None)
                 return
-            yield Gap(at, found, frame.sequence - least)
-        elif frame.sequence > least:
-            yield Gap(at, at, frame.sequence - least)
+            yield Gap(offset, found, frame.sequence_number - min_sequence_number)
+        elif frame.sequence_number > min_sequence_number:
+            yield Gap(offset, offset, frame.sequence_number - min_sequence_number)
         yield frame
-        at, least = frame.end, frame.sequence + 1
+        offset, min_sequence_number = frame.end_offset, frame.sequence_number + 1
--- a/micahold/chronicle/records.py
+++ b/micahold/chronicle/records.py
@@ -11,53 +11,53 @@
 
 import msgspec
 
-Number = Annotated[int, msgspec.Meta(ge=0, le=2**63 - 1)]
+UnsignedInt63 = Annotated[int, msgspec.Meta(ge=0, le=2**63 - 1)]
 
 
 class Record(msgspec.Struct, frozen=True, array_like=True):
     """What every record begins with."""
 
-    at: Number
+    time_us: UnsignedInt63
 
 
 class RunStarted(Record, frozen=True, array_like=True):
     front: str
-    run: str
+    run_id: str
     version: str = ""
-    settings: str = ""  # digest of the configuration
+    settings_digest: str = ""  # digest of the configuration
 
 
 class RunEnded(Record, frozen=True, array_like=True):
-    why: str = ""
+    reason: str = ""
 
 
 class PhaseEntered(Record, frozen=True, array_like=True):
     phase: str
 
 
-class ConfigurationTaken(Record, frozen=True, array_like=True):
-    what: tuple[str, ...] = ()
-    waits: tuple[str, ...] = ()
-    refused: str = ""
+class ConfigurationReload(Record, frozen=True, array_like=True):
+    applied: tuple[str, ...] = ()
+    pending_restart: tuple[str, ...] = ()
+    rejection: str = ""
 
 
-class ListChanged(Record, frozen=True, array_like=True):
+class EngineListChanged(Record, frozen=True, array_like=True):
     revision: int
-    kind: str
+    update_kind: str
     engines: tuple[tuple[str, str], ...] = ()  # engine, state
 
 
-class QueryTaken(Record, frozen=True, array_like=True):
-    """``deadline`` is a time of the same clock; ``worth`` what it earns if served in time."""
+class QueryAccepted(Record, frozen=True, array_like=True):
+    """``deadline_us`` is a time of the same clock; ``worth`` what it earns if served in time."""
 
     query: int
-    id: str
+    query_id: str
     query_class: str
     tenant: str = ""
     worth: float = 1.0
-    deadline: Number = 0
-    late_share: float = 0.0
-    aim: Number = 0
+    deadline_us: UnsignedInt63 = 0
+    late_worth_share: float = 0.0
+    soft_deadline_us: UnsignedInt63 = 0
 
 
 class AttemptSent(Record, frozen=True, array_like=True):
@@ -67,92 +67,92 @@
 
 
 class AttemptEnded(Record, frozen=True, array_like=True):
-    """``stamp`` is the engine's own time of it, 0 where it tells none."""
+    """``engine_time_us`` is the engine's own time of it, 0 where it tells none."""
 
     query: int
     attempt: int
     engine: str
     outcome: str
-    stamp: Number = 0
+    engine_time_us: UnsignedInt63 = 0
 
 
 class QueryHeld(Record, frozen=True, array_like=True):
     query: int
-    why: str = ""
+    reason: str = ""
 
 
 class QueryAnswered(Record, frozen=True, array_like=True):
-    """``how``: served, refused, failed, dropped."""
+    """``outcome``: served, refused, failed, dropped."""
 
     query: int
-    how: str
-    why: str = ""
-    attempts: int = 0
+    outcome: str
+    reason: str = ""
+    attempt_count: int = 0
 
 
-class EngineJudged(Record, frozen=True, array_like=True):
+class EngineStateChanged(Record, frozen=True, array_like=True):
     """``state``: suspected, on trial, trusted, doubted by hearsay."""
 
     engine: str
     state: str
-    why: str = ""
+    reason: str = ""
 
 
 class TenantInDebt(Record, frozen=True, array_like=True):
     tenant: str
-    level: float
+    bucket_level: float
 
 
-class MemberChanged(Record, frozen=True, array_like=True):
+class MemberStatusChanged(Record, frozen=True, array_like=True):
     name: str
     status: str
-    why: str = ""
+    reason: str = ""
 
 
 class Summary(Record, frozen=True, array_like=True):
     """Once a second."""
 
-    open: int
-    held: int
-    out: tuple[tuple[str, int], ...] = ()
+    open_queries: int
+    held_queries: int
+    in_flight: tuple[tuple[str, int], ...] = ()
     client_bytes: int = 0
     late_ms: int = 0
 
 
-class Missing(Record, frozen=True, array_like=True):
+class RecordsLost(Record, frozen=True, array_like=True):
     """So many records could not be kept: the buffer was full, or the disk did not take them."""
 
-    count: Number
-    why: str = ""
+    count: UnsignedInt63
+    reason: str = ""
 
 
-KINDS: dict[int, type[Record]] = {
+TYPES_BY_NUMBER: dict[int, type[Record]] = {
     1: RunStarted,
     2: RunEnded,
     3: PhaseEntered,
-    4: ConfigurationTaken,
-    5: ListChanged,
-    6: QueryTaken,
+    4: ConfigurationReload,
+    5: EngineListChanged,
+    6: QueryAccepted,
     7: AttemptSent,
     8: AttemptEnded,
     9: QueryHeld,
     10: QueryAnswered,
-    11: EngineJudged,
+    11: EngineStateChanged,
     12: TenantInDebt,
-    13: MemberChanged,
+    13: MemberStatusChanged,
     14: Summary,
-    15: Missing,
+    15: RecordsLost,
 }
-NUMBERS = {kind: number for number, kind in KINDS.items()}
+NUMBERS_BY_TYPE = {kind: number for number, kind in TYPES_BY_NUMBER.items()}
 _encode = msgspec.msgpack.Encoder().encode
 _decoders: dict[int, msgspec.msgpack.Decoder[Any]] = {
-    number: msgspec.msgpack.Decoder(kind) for number, kind in KINDS.items()
+    number: msgspec.msgpack.Decoder(kind) for number, kind in TYPES_BY_NUMBER.items()
 }
 
 
 def encode(record: Record) -> tuple[int, bytes]:
     """Kind and payload."""
-    return NUMBERS[type(record)], _encode(record)
+    return NUMBERS_BY_TYPE[type(record)], _encode(record)
 
 
 def decode(kind: int, payload: bytes) -> Record | None:
