--- a/micahold/chronicle/__init__.py
+++ b/micahold/chronicle/__init__.py
@@ -1,5 +1,6 @@
-"""What happened, from the program's own records: a crash or a bad disk costs records, never a query.
+"""Append-only event log of a front: a crash or a damaged disk loses records, never a query.
 
-``records`` and ``frames`` are the form, ``clocks`` puts moments of several fronts in order, ``lifecycles``
-counts what became of each query. docs/chronicle.md is the design.
+``records`` defines the record types and ``frames`` the segment format. ``clocks`` bounds the clock offsets
+between fronts, so that their events can be ordered, and ``lifecycles`` reconstructs the outcome of each
+query. docs/chronicle.md describes the design.
 """
--- a/micahold/chronicle/records.py
+++ b/micahold/chronicle/records.py
@@ -1,8 +1,9 @@
-"""The records, one struct a kind: a kind keeps its number for ever, new fields come at the end.
+"""Record types of the event log, one struct for each kind of event.
 
-Arrays of msgpack: a reader passes over further fields that it does not know, and takes defaults for those
-that an older writer did not have. A kind that it does not know is skipped and counted by the caller. Times
-are Unix microseconds of the front's own clock.
+Records are msgpack arrays. A kind never changes its number, and new fields are only added at the end: a
+decoder ignores further fields, and uses the defaults for fields that an older writer did not have. For an
+unknown kind ``decode`` returns None, and the caller skips and counts the record. Times are Unix microseconds
+of the front's own clock.
 """
 
 from __future__ import annotations
@@ -15,12 +16,14 @@
 
 
 class Record(msgspec.Struct, frozen=True, array_like=True):
-    """What every record begins with."""
+    """Base class with the field that begins every record."""
 
     time_us: UnsignedInt63
 
 
 class RunStarted(Record, frozen=True, array_like=True):
+    """The front started a run: one lifetime of its process."""
+
     front: str
     run_id: str
     version: str = ""
@@ -28,27 +31,41 @@
 
 
 class RunEnded(Record, frozen=True, array_like=True):
+    """The front ended its run."""
+
     reason: str = ""
 
 
 class PhaseEntered(Record, frozen=True, array_like=True):
+    """The front entered a phase."""
+
     phase: str
 
 
 class ConfigurationReload(Record, frozen=True, array_like=True):
+    """The configuration was reloaded: settings applied, settings that need a restart, or the rejection."""
+
     applied: tuple[str, ...] = ()
     pending_restart: tuple[str, ...] = ()
     rejection: str = ""
 
 
 class EngineListChanged(Record, frozen=True, array_like=True):
+    """The front received a change of the engine list."""
+
     revision: int
     update_kind: str
     engines: tuple[tuple[str, str], ...] = ()  # engine, state
 
 
 class QueryAccepted(Record, frozen=True, array_like=True):
-    """``deadline_us`` is a time of the same clock; ``worth`` what it earns if served in time."""
+    """The front took a query from a client.
+
+    ``query`` is the front's number of the query, also in its other records; ``query_id`` is the client's id,
+    which a retry repeats. ``deadline_us`` and ``soft_deadline_us`` are times of the front's clock. The query
+    earns ``worth`` if served in time and ``late_worth_share`` of it after the soft deadline, if there is one
+    (not 0).
+    """
 
     query: int
     query_id: str
@@ -61,13 +78,15 @@
 
 
 class AttemptSent(Record, frozen=True, array_like=True):
+    """The front sent an attempt of a query to an engine."""
+
     query: int
     attempt: int
     engine: str
 
 
 class AttemptEnded(Record, frozen=True, array_like=True):
-    """``engine_time_us`` is the engine's own time of it, 0 where it tells none."""
+    """An attempt ended; ``engine_time_us`` is the engine's own timestamp, 0 where it sends none."""
 
     query: int
     attempt: int
@@ -77,12 +96,14 @@
 
 
 class QueryHeld(Record, frozen=True, array_like=True):
+    """The front holds a query until it can be sent to an engine."""
+
     query: int
     reason: str = ""
 
 
 class QueryAnswered(Record, frozen=True, array_like=True):
-    """``outcome``: served, refused, failed, dropped."""
+    """A query ended; ``outcome`` is "served", "refused", "failed" or "dropped"."""
 
     query: int
     outcome: str
@@ -91,7 +112,10 @@
 
 
 class EngineStateChanged(Record, frozen=True, array_like=True):
-    """``state``: suspected, on trial, trusted, doubted by hearsay."""
+    """The front's assessment of an engine changed.
+
+    ``state`` is "suspected", "on trial" (half-open), "trusted", or "doubted by hearsay" (peer reports).
+    """
 
     engine: str
     state: str
@@ -99,18 +123,22 @@
 
 
 class TenantInDebt(Record, frozen=True, array_like=True):
+    """A tenant's token bucket went into debt, to ``bucket_level``."""
+
     tenant: str
     bucket_level: float
 
 
 class MemberStatusChanged(Record, frozen=True, array_like=True):
+    """A member of the gossip group changed its status."""
+
     name: str
     status: str
     reason: str = ""
 
 
 class Summary(Record, frozen=True, array_like=True):
-    """Once a second."""
+    """State of the front, written once a second."""
 
     open_queries: int
     held_queries: int
@@ -120,7 +148,7 @@
 
 
 class RecordsLost(Record, frozen=True, array_like=True):
-    """So many records could not be kept: the buffer was full, or the disk did not take them."""
+    """``count`` records were not written, because the buffer was full or the disk did not accept them."""
 
     count: UnsignedInt63
     reason: str = ""
@@ -143,20 +171,20 @@
     14: Summary,
     15: RecordsLost,
 }
-NUMBERS_BY_TYPE = {kind: number for number, kind in TYPES_BY_NUMBER.items()}
+NUMBERS_BY_TYPE = {record_type: number for number, record_type in TYPES_BY_NUMBER.items()}
 _encode = msgspec.msgpack.Encoder().encode
 _decoders: dict[int, msgspec.msgpack.Decoder[Any]] = {
-    number: msgspec.msgpack.Decoder(kind) for number, kind in TYPES_BY_NUMBER.items()
+    number: msgspec.msgpack.Decoder(record_type) for number, record_type in TYPES_BY_NUMBER.items()
 }
 
 
 def encode(record: Record) -> tuple[int, bytes]:
-    """Kind and payload."""
+    """Returns the kind number of a record and its msgpack payload."""
     return NUMBERS_BY_TYPE[type(record)], _encode(record)
 
 
 def decode(kind: int, payload: bytes) -> Record | None:
-    """None for a kind, or a form of it, that this version does not know."""
+    """Decodes a payload; None for an unknown kind, or for a payload that does not fit the kind."""
     decoder = _decoders.get(kind)
     if decoder is None:
         return None
--- a/tests/test_chronicle_cores.py
+++ b/tests/test_chronicle_cores.py
@@ -102,7 +102,7 @@
 
 
 def test_a_payload_too_long_is_refused() -> None:
-    with pytest.raises(ValueError, match="bytes of payload"):
+    with pytest.raises(ValueError, match="payload of 60001 bytes exceeds the maximum"):
         encode_frame(RUN, 1, 1, bytes(60_001))
 
 
