--- a/micahold/chronicle/clocks.py
+++ b/micahold/chronicle/clocks.py
@@ -120,8 +120,8 @@
                 pair.late_time_s - pair.early_time_s - pair.min_delay_s + drift_allowance,
             )
         windows_by_clock: dict[str, list[int]] = {}
-        for clock, window in nodes:
-            windows_by_clock.setdefault(clock, []).append(window)
+        for clock, node_window in nodes:
+            windows_by_clock.setdefault(clock, []).append(node_window)
         for clock, windows in windows_by_clock.items():
             windows.sort()
             for window, next_window in pairwise(windows):
@@ -184,13 +184,14 @@
             if last is None:
                 return None
         assert last is not None
-        # A node relaxed in the last round is reachable from a negative cycle; len(nodes) steps back end on it.
+        # A node relaxed in the last round is reachable from a negative cycle. Going back len(nodes) steps
+        # ends on the cycle.
         for _ in range(len(nodes)):
             last = predecessor[last]
-        cycle, node = [last], predecessor[last]
-        while node != last:
-            cycle.append(node)
-            node = predecessor[node]
+        cycle, cycle_node = [last], predecessor[last]
+        while cycle_node != last:
+            cycle.append(cycle_node)
+            cycle_node = predecessor[cycle_node]
         return cycle
 
     def _split(self, cycle: list[Node]) -> None:
@@ -200,7 +201,7 @@
         """
         window_counts = Counter(clock for clock, _ in cycle)
         jumped_clock = max(
-            window_counts, key=lambda clock: (clock != self.reference_clock, window_counts[clock])
+            window_counts, key=lambda candidate: (candidate != self.reference_clock, window_counts[candidate])
         )
         windows = sorted({window for clock, window in cycle if clock == jumped_clock})
         epoch_start_s = windows[-1] * self.window_s
--- a/micahold/chronicle/lifecycles.py
+++ b/micahold/chronicle/lifecycles.py
@@ -1,17 +1,19 @@
-"""What became of each query, from records that may have holes: a state machine, and sums that add up.
+"""Reconstruction of each query's lifecycle from records with gaps, and totals that count every query once.
 
 | state | by | to |
 | --- | --- | --- |
 | (none) | QueryAccepted | HELD |
-| HELD | AttemptSent | OUT |
-| OUT | AttemptEnded, and no other attempt is out | HELD |
-| HELD, OUT | QueryAnswered | served, refused, failed or dropped |
-| HELD, OUT | the run crashed, or records are missing up to its end | unknown |
-| (none) | QueryAnswered, AttemptSent, AttemptEnded of a query whose QueryAccepted is missing | unplaced |
-
-Each query taken is counted once, under one end. Worth is kept in whole millionths, so that sums over classes,
-tenants, fronts and ends are equal to the last digit. Only open queries and refused ones of the last
-``RETRY_JOIN_S`` seconds are kept.
+| HELD | AttemptSent | IN_FLIGHT |
+| IN_FLIGHT | AttemptEnded, and no other attempt is in flight | HELD |
+| HELD, IN_FLIGHT | QueryAnswered | served, refused, failed or dropped; unknown for another outcome |
+| HELD, IN_FLIGHT | the run crashed, or records are missing up to its end | unknown |
+| HELD, IN_FLIGHT | more than ``MAX_OPEN_QUERIES`` are open and this one is the oldest | unknown |
+| (none) | QueryAnswered, AttemptSent or AttemptEnded without a QueryAccepted | orphan record |
+
+Each accepted query is counted once, under one outcome. Worth is kept in whole millionths, so that sums over
+classes, tenants, fronts and outcomes are exactly equal. Besides open queries, only the last
+``MAX_REMEMBERED_QUERIES`` ended and refused ones are remembered: ended ones to recognize duplicate answers,
+refused ones to recognize retries within ``RETRY_JOIN_S``.
 """
 
 from __future__ import annotations
@@ -23,11 +25,14 @@
 
 from micahold.chronicle import records as rec
 
-RETRY_JOIN_S, MAX_REMEMBERED_QUERIES = 30.0, 50_000
+RETRY_JOIN_S = 30.0  # a query accepted within this time after its refusal is a retry of the refused one
+MAX_REMEMBERED_QUERIES = 50_000  # keys of ended queries and ids of refused ones that are kept
 MAX_OPEN_QUERIES = 200_000
 
 
 class QueryOutcome(Enum):
+    """How a query ended; the values are those of ``QueryAnswered.outcome``, and "unknown"."""
+
     SERVED = "served"
     REFUSED = "refused"
     FAILED = "failed"
@@ -35,31 +40,31 @@
     UNKNOWN = "unknown"
 
 
-OUTCOMES_BY_VALUE = {one.value: one for one in QueryOutcome}
+OUTCOMES_BY_VALUE = {outcome.value: outcome for outcome in QueryOutcome}
 
 
 @dataclass(slots=True)
 class QueryLifecycle:
-    """One query from its taking to its end; times are the front's own, microseconds."""
+    """A query from its acceptance to its end; times are Unix microseconds of the front's own clock."""
 
     front: str
     run_id: str
     accepted: rec.QueryAccepted
-    in_flight: dict[int, str] = field(default_factory=dict)  # attempt: engine
+    in_flight: dict[int, str] = field(default_factory=dict)  # engine by attempt number
     attempted_engines: list[str] = field(default_factory=list)
     ended_at_us: int = 0
     outcome: QueryOutcome | None = None
     reason: str = ""
-    earlier_refusals: int = 0  # further tries by the client that were refused before this one
+    earlier_refusals: int = 0  # tries of the same query that were refused before this one
 
     @property
     def worth_millionths(self) -> int:
-        """Millionths that it would have earned in time."""
+        """Millionths of worth that the query earns if served in time."""
         return round(self.accepted.worth * 1e6)
 
     @property
     def earned_millionths(self) -> int:
-        """Millionths; a part of the worth once the aim had passed."""
+        """Millionths of worth that the query earned: only a share of it if served after the soft deadline."""
         if self.outcome is not QueryOutcome.SERVED:
             return 0
         late = self.accepted.soft_deadline_us and self.ended_at_us > self.accepted.soft_deadline_us
@@ -69,6 +74,7 @@
 
     @property
     def may_have_run(self) -> bool:
+        """Whether an attempt was sent, so that the query may have run on an engine."""
         return bool(self.attempted_engines)
 
 
@@ -77,26 +83,30 @@
 
 @dataclass(slots=True)
 class OutcomeTotals:
-    """Queries and millionths of worth by end; ``earned_millionths`` and ``late_count`` are parts of what was
-    served.
+    """Number of queries and millionths of worth by outcome.
+
+    ``earned_millionths`` and ``late_count`` belong to the served queries.
     """
 
     query_counts: Counter[QueryOutcome] = field(default_factory=Counter)
     worth_millionths: Counter[QueryOutcome] = field(default_factory=Counter)
     earned_millionths: int = 0
     late_count: int = 0
-    joined_retries: int = 0  # refused here and tried again elsewhere: not lost with that
-
-    def add(self, life: QueryLifecycle) -> None:
-        assert life.outcome is not None
-        self.query_counts[life.outcome] += 1
-        self.worth_millionths[life.outcome] += life.worth_millionths
-        self.earned_millionths += life.earned_millionths
+    joined_retries: int = 0  # refused, then accepted as a retry: not lost by the refusal
+
+    def add(self, lifecycle: QueryLifecycle) -> None:
+        """Adds a query that has ended."""
+        assert lifecycle.outcome is not None
+        self.query_counts[lifecycle.outcome] += 1
+        self.worth_millionths[lifecycle.outcome] += lifecycle.worth_millionths
+        self.earned_millionths += lifecycle.earned_millionths
         self.late_count += (
-            life.outcome is QueryOutcome.SERVED and life.earned_millionths < life.worth_millionths
+            lifecycle.outcome is QueryOutcome.SERVED
+            and lifecycle.earned_millionths < lifecycle.worth_millionths
         )
 
     def merge(self, other: OutcomeTotals) -> None:
+        """Adds the totals of other queries."""
         self.query_counts.update(other.query_counts)
         self.worth_millionths.update(other.worth_millionths)
         self.earned_millionths += other.earned_millionths
@@ -105,104 +115,123 @@
 
     @property
     def query_count(self) -> int:
+        """Number of queries with any outcome."""
         return sum(self.query_counts.values())
 
     @property
     def unearned_millionths(self) -> int:
-        """Millionths asked for and not earned."""
+        """Millionths of worth that the queries did not earn."""
         return sum(self.worth_millionths.values()) - self.earned_millionths
 
 
 class LifecycleTracker:
-    """Fed the records of every run, each in its own order; ``take_finished`` hands out lives as they end."""
+    """Builds lifecycles and totals from the records of all runs, each run's records in their order.
+
+    ``totals`` are by front, class and tenant. Records of a query without a QueryAccepted are counted in
+    ``orphan_records``. ``duplicate_answers`` lists further answers of a query, which violate the guarantee of
+    exactly one answer.
+    """
 
     def __init__(self) -> None:
         self.open_queries: dict[tuple[str, str, int], QueryLifecycle] = {}
         self.totals: dict[TotalsKey, OutcomeTotals] = {}
         self.attempt_outcomes: Counter[tuple[str, str]] = Counter()  # engine, outcome
-        self.orphan_records: Counter[str] = Counter()
-        self.duplicate_answers: list[tuple[str, str, int]] = []  # answered a second time: a breach
+        self.orphan_records: Counter[str] = Counter()  # by event: sent, ended, answered
+        self.duplicate_answers: list[tuple[str, str, int]] = []  # front, run id, query
         self._ended = OrderedDict[tuple[str, str, int], None]()
-        self._refused = OrderedDict[str, tuple[int, TotalsKey, int]]()  # id: when, whose, tries before
+        # By query id: time of the refusal, key of its totals, earlier refusals.
+        self._refused = OrderedDict[str, tuple[int, TotalsKey, int]]()
         self._finished: list[QueryLifecycle] = []
 
     def add_record(self, front: str, run_id: str, record: rec.Record) -> None:
-        """One record of one run."""
+        """Applies the next record of a run."""
         match record:
             case rec.QueryAccepted():
-                self._taken(front, run_id, record)
+                self._accept(front, run_id, record)
             case rec.AttemptSent(query=query, attempt=attempt, engine=engine):
-                life = self._life(front, run_id, query, "sent")
-                if life is not None:
-                    life.in_flight[attempt] = engine
-                    life.attempted_engines.append(engine)
-            case rec.AttemptEnded(query=query, attempt=attempt, engine=engine, outcome=outcome):
-                self.attempt_outcomes[engine, outcome] += 1
-                life = self._life(front, run_id, query, "ended")
-                if life is not None:
-                    life.in_flight.pop(attempt, None)
-            case rec.QueryAnswered(time_us=at, query=query, outcome=how, reason=why):
-                life = self._life(front, run_id, query, "answered")
-                if life is not None:
-                    self._end(life, at, OUTCOMES_BY_VALUE.get(how, QueryOutcome.UNKNOWN), why)
+                lifecycle = self._find_open(front, run_id, query, "sent")
+                if lifecycle is not None:
+                    lifecycle.in_flight[attempt] = engine
+                    lifecycle.attempted_engines.append(engine)
+            case rec.AttemptEnded(query=query, attempt=attempt, engine=engine, outcome=attempt_outcome):
+                self.attempt_outcomes[engine, attempt_outcome] += 1
+                lifecycle = self._find_open(front, run_id, query, "ended")
+                if lifecycle is not None:
+                    lifecycle.in_flight.pop(attempt, None)
+            case rec.QueryAnswered(time_us=time_us, query=query, outcome=outcome, reason=reason):
+                lifecycle = self._find_open(front, run_id, query, "answered")
+                if lifecycle is not None:
+                    self._finish(
+                        lifecycle, time_us, OUTCOMES_BY_VALUE.get(outcome, QueryOutcome.UNKNOWN), reason
+                    )
             case _:
                 pass
 
-    def _life(self, front: str, run: str, query: int, what: str) -> QueryLifecycle | None:
-        life = self.open_queries.get((front, run, query))
-        if life is None:
-            if (front, run, query) not in self._ended:
-                self.orphan_records[what] += 1
-            elif what == "answered":
-                self.duplicate_answers.append((front, run, query))
-        return life
-
-    def _taken(self, front: str, run: str, record: rec.QueryAccepted) -> None:
-        life = QueryLifecycle(front, run, record)
-        before = self._refused.pop(record.query_id, None)
-        if before is not None and record.time_us - before[0] <= RETRY_JOIN_S * 1e6:
-            self.totals[before[1]].joined_retries += 1
-            life.earlier_refusals = before[2] + 1
-        self.open_queries[front, run, record.query] = life
+    def _find_open(self, front: str, run_id: str, query: int, event: str) -> QueryLifecycle | None:
+        """Returns the open lifecycle of a query. Without one, counts an orphan record or a duplicate answer.
+
+        A record of a query that has ended is neither, unless it is a second answer.
+        """
+        lifecycle = self.open_queries.get((front, run_id, query))
+        if lifecycle is None:
+            if (front, run_id, query) not in self._ended:
+                self.orphan_records[event] += 1
+            elif event == "answered":
+                self.duplicate_answers.append((front, run_id, query))
+        return lifecycle
+
+    def _accept(self, front: str, run_id: str, record: rec.QueryAccepted) -> None:
+        """Opens a lifecycle, and joins it to a recent refusal with the same query id."""
+        lifecycle = QueryLifecycle(front, run_id, record)
+        refusal = self._refused.pop(record.query_id, None)
+        if refusal is not None and record.time_us - refusal[0] <= RETRY_JOIN_S * 1e6:
+            self.totals[refusal[1]].joined_retries += 1
+            lifecycle.earlier_refusals = refusal[2] + 1
+        self.open_queries[front, run_id, record.query] = lifecycle
         if len(self.open_queries) > MAX_OPEN_QUERIES:
             oldest = next(iter(self.open_queries.values()))
-            self._end(oldest, oldest.accepted.time_us, QueryOutcome.UNKNOWN, "too many open")
-
-    def _end(self, life: QueryLifecycle, at: int, end: QueryOutcome, why: str) -> None:
-        life.outcome, life.ended_at_us, life.reason = end, at, why
-        mark = (life.front, life.run_id, life.accepted.query)
-        del self.open_queries[mark]
-        self._ended[mark] = None
+            self._finish(oldest, oldest.accepted.time_us, QueryOutcome.UNKNOWN, "too many open")
+
+    def _finish(self, lifecycle: QueryLifecycle, time_us: int, outcome: QueryOutcome, reason: str) -> None:
+        """Ends a lifecycle with an outcome and adds it to the totals."""
+        lifecycle.outcome, lifecycle.ended_at_us, lifecycle.reason = outcome, time_us, reason
+        query_key = (lifecycle.front, lifecycle.run_id, lifecycle.accepted.query)
+        del self.open_queries[query_key]
+        self._ended[query_key] = None
         if len(self._ended) > MAX_REMEMBERED_QUERIES:
             self._ended.popitem(last=False)
-        key = (life.front, life.accepted.query_class, life.accepted.tenant)
-        self.totals.setdefault(key, OutcomeTotals()).add(life)
-        if end is QueryOutcome.REFUSED:
-            self._refused[life.accepted.query_id] = (at, key, life.earlier_refusals)
+        totals_key = (lifecycle.front, lifecycle.accepted.query_class, lifecycle.accepted.tenant)
+        self.totals.setdefault(totals_key, OutcomeTotals()).add(lifecycle)
+        if outcome is QueryOutcome.REFUSED:
+            self._refused[lifecycle.accepted.query_id] = (time_us, totals_key, lifecycle.earlier_refusals)
             if len(self._refused) > MAX_REMEMBERED_QUERIES:
                 self._refused.popitem(last=False)
-        self._finished.append(life)
+        self._finished.append(lifecycle)
 
     def end_run(self, front: str, run_id: str, time_us: int, reason: str) -> None:
-        """The records of a run end here: what it had open is unknown, by a crash or by lost records."""
-        for life in [one for one in self.open_queries.values() if (one.front, one.run_id) == (front, run_id)]:
-            self._end(life, max(time_us, life.accepted.time_us), QueryOutcome.UNKNOWN, reason)
+        """Ends a run whose records end here, by a crash or lost records: its open queries become unknown."""
+        for lifecycle in [
+            open_query
+            for open_query in self.open_queries.values()
+            if (open_query.front, open_query.run_id) == (front, run_id)
+        ]:
+            self._finish(lifecycle, max(time_us, lifecycle.accepted.time_us), QueryOutcome.UNKNOWN, reason)
 
     def take_finished(self) -> Iterator[QueryLifecycle]:
-        """Lives that ended since the last call."""
-        done, self._finished = self._finished, []
-        return iter(done)
+        """Returns the lifecycles that ended since the last call."""
+        finished, self._finished = self._finished, []
+        return iter(finished)
 
     def combined_totals(
         self, front: str | None = None, query_class: str | None = None, tenant: str | None = None
     ) -> OutcomeTotals:
-        """Sums over all, or over one front, class or tenant."""
-        whole = OutcomeTotals()
-        for (its_front, its_class, its_tenant), one in self.totals.items():
+        """Returns the totals over all queries, or over those of a front, class or tenant."""
+        combined = OutcomeTotals()
+        for (key_front, key_class, key_tenant), totals in self.totals.items():
             if (
-                front in (None, its_front)
-                and query_class in (None, its_class)
-                and tenant in (None, its_tenant)
+                front in (None, key_front)
+                and query_class in (None, key_class)
+                and tenant in (None, key_tenant)
             ):
-                whole.merge(one)
-        return whole
+                combined.merge(totals)
+        return combined
