--- a/micahold/benchlink/__main__.py
+++ b/micahold/benchlink/__main__.py
@@ -5,20 +5,20 @@
 import json
 import sys
 
-from micahold.benchlink.host import Host, complain
+from micahold.benchlink.host import ControllerHost, write_error
 from micahold.settings import FormatError
 
 
 def main() -> int:
     """0 at the end of input, 1 after a line that is no legal batch."""
-    host = Host()
+    host = ControllerHost()
     for number, line in enumerate(sys.stdin.buffer, start=1):
         if not line.strip():
             continue
         try:
-            reply = host.answer(json.loads(line))
+            reply = host.handle_batch(json.loads(line))
         except (ValueError, RecursionError, FormatError) as error:
-            complain(f"line {number} is not a legal batch: {error}")
+            write_error(f"line {number} is not a legal batch: {error}")
             return 1
         sys.stdout.write(json.dumps(reply, separators=(",", ":")) + "\n")
         sys.stdout.flush()
--- a/micahold/benchlink/codec.py
+++ b/micahold/benchlink/codec.py
@@ -9,12 +9,12 @@
 from typing import Any
 
 from micahold import interface as api
-from micahold.settings import NS_PER_S, FormatError, Json, choice, decode_report, seconds
+from micahold.settings import NS_PER_S, FormatError, JsonObject, decode_report, look_up, seconds_from_ns
 
-WORK_UNIT = 4096  # a bill is milliseconds of work times this, plus memory steps
-MEMORY_STEP_MB = 4
+BILL_WORK_FACTOR = 4096  # a bill is milliseconds of work times this, plus memory steps
+BILL_MEMORY_STEP_MB = 4
 
-STATES = {
+ENGINE_STATES = {
     "SERVING": api.EngineState.UP,
     "DRAINING": api.EngineState.DRAINING,
     "DELETED": api.EngineState.GONE,
@@ -37,21 +37,21 @@
 }
 
 
-def nanoseconds(value: float) -> int:
+def ns_from_seconds(value: float) -> int:
     """Seconds as whole nanoseconds of the wire."""
     return round(value * NS_PER_S)
 
 
-def decode_entry(item: Json) -> api.EngineEntry:
+def decode_engine_entry(item: JsonObject) -> api.EngineEntry:
     """One line of a numbered list."""
     try:
         return api.EngineEntry(
             engine=str(item["engine"]),
-            state=choice(STATES, item.get("condition"), "condition"),
+            state=look_up(ENGINE_STATES, item.get("condition"), "condition"),
             zone=int(item.get("failure_domain", 0)),
             kind=int(item.get("hw", 0)),
             cell=int(item.get("unit_group", 0)),
-            started_at=seconds(item.get("came_up_ns")),
+            started_at=seconds_from_ns(item.get("came_up_ns")),
             weight=float(item.get("share", 1.0)),
         )
     except KeyError as error:
@@ -60,15 +60,15 @@
         raise FormatError(f"bad list entry: {error}") from None
 
 
-def _query(item: Json) -> api.QueryArrived:
+def _query(item: JsonObject) -> api.QueryArrived:
     cost = item.get("est_cost_ns")
     return api.QueryArrived(
         query=int(item["txn"]),
         class_index=int(item.get("qos") or 0),
         tenant_index=int(item.get("party") or 0),
-        deadline=seconds(item["deadline_ns"]),
+        deadline=seconds_from_ns(item["deadline_ns"]),
         ordering_key=item.get("relation"),
-        estimated_cost_s=seconds(cost) if cost else None,
+        estimated_cost_s=seconds_from_ns(cost) if cost else None,
         estimated_memory_mb=float(item["mem_mb"]) if item.get("mem_mb") else None,
         table_group=int(item.get("dataset") or 0),
         is_client_retry=bool(item.get("repeat", False)),
@@ -76,13 +76,16 @@
     )
 
 
-def _streaming(item: Json) -> api.AttemptStreaming:
+def _streaming(item: JsonObject) -> api.AttemptStreaming:
     return api.AttemptStreaming(
-        int(item["txn"]), int(item.get("try") or 0), str(item["engine"]), seconds(item.get("cost_time_ns"))
+        int(item["txn"]),
+        int(item.get("try") or 0),
+        str(item["engine"]),
+        seconds_from_ns(item.get("cost_time_ns")),
     )
 
 
-def _note(item: Json) -> api.AttemptStatus | None:
+def _note(item: JsonObject) -> api.AttemptStatus | None:
     kind = int(item["kind"])
     if kind not in (1, 2, 3):
         return None
@@ -95,35 +98,35 @@
     )
 
 
-def _ended(item: Json) -> api.AttemptEnded:
+def _ended(item: JsonObject) -> api.AttemptEnded:
     bill = int(item.get("bill") or 0)
     return api.AttemptEnded(
         query=int(item["txn"]),
         attempt=int(item.get("try") or 0),
         engine=str(item["engine"]),
-        outcome=choice(OUTCOMES, item.get("result"), "result"),
-        elapsed_s=seconds(item.get("cost_time_ns")),
+        outcome=look_up(OUTCOMES, item.get("result"), "result"),
+        elapsed_s=seconds_from_ns(item.get("cost_time_ns")),
         query_settled=bool(item.get("settled", False)),
-        work_s=bill // WORK_UNIT / 1000,
-        memory_mb=float(bill % WORK_UNIT * MEMORY_STEP_MB),
+        work_s=bill // BILL_WORK_FACTOR / 1000,
+        memory_mb=float(bill % BILL_WORK_FACTOR * BILL_MEMORY_STEP_MB),
         report=decode_report(item.get("health_info")),
     )
 
 
-def _probe_ended(item: Json) -> api.ProbeEnded:
+def _probe_ended(item: JsonObject) -> api.ProbeEnded:
     return api.ProbeEnded(
         engine=str(item["engine"]),
-        outcome=choice(OUTCOMES, item.get("result"), "result"),
-        elapsed_s=seconds(item.get("cost_time_ns")),
+        outcome=look_up(OUTCOMES, item.get("result"), "result"),
+        elapsed_s=seconds_from_ns(item.get("cost_time_ns")),
         report=decode_report(item.get("health_info")),
     )
 
 
-def _peer_message(item: Json) -> api.PeerMessage:
+def _peer_message(item: JsonObject) -> api.PeerMessage:
     return api.PeerMessage(int(item.get("origin_peer") or 0), bytes.fromhex(item.get("msg") or ""))
 
 
-DECODERS: dict[str, Callable[[Json], api.Event | None]] = {
+DECODERS: dict[str, Callable[[JsonObject], api.Event | None]] = {
     "call": _query,
     "flowing": _streaming,
     "heartbeat": _note,
@@ -135,7 +138,7 @@
 }
 
 
-def decode_event(item: Json) -> api.Event | None:
+def decode_event(item: JsonObject) -> api.Event | None:
     """One event that needs no list; None for a note of a kind not known."""
     what = item.get("what")
     if not isinstance(what, str) or what not in DECODERS:
@@ -150,12 +153,12 @@
         raise FormatError(f"bad event {what!r}: {error}") from None
 
 
-def decode_update(item: Json, lists: Mapping[int, tuple[api.EngineEntry, ...]]) -> api.ListUpdate:
+def decode_list_update(item: JsonObject, lists: Mapping[int, tuple[api.EngineEntry, ...]]) -> api.ListUpdate:
     """News of the engine list, with its entries looked up by number."""
-    kind = choice(LIST_KINDS, item.get("how"), "kind of list update")
+    kind = look_up(LIST_KINDS, item.get("how"), "kind of list update")
     entries: tuple[api.EngineEntry, ...] = ()
     if kind is not api.ListKind.UNAVAILABLE:
-        entries = choice(lists, item.get("table", 0), "list number")
+        entries = look_up(lists, item.get("table", 0), "list number")
     return api.ListUpdate(kind, int(item.get("revision") or 0), entries)
 
 
@@ -163,17 +166,17 @@
     """One action as the wire's object."""
     match action:
         case api.Send(query, engine, expires):
-            return {"what": "relay", "txn": query, "expire_at_ns": nanoseconds(expires), "engine": engine}
+            return {"what": "relay", "txn": query, "expire_at_ns": ns_from_seconds(expires), "engine": engine}
         case api.SetTerms(query, grant_mb, priority):
             return {"what": "grant_and_rank", "txn": query, "grant_mb": grant_mb, "rank": priority}
         case api.Refuse(query, retry_after):
-            return {"what": "bounce", "txn": query, "come_back_ns": nanoseconds(retry_after)}
+            return {"what": "bounce", "txn": query, "come_back_ns": ns_from_seconds(retry_after)}
         case api.Fail(query):
             return {"what": "end_failed", "txn": query}
         case api.Cancel(query, attempt):
             return {"what": "revoke", "txn": query, "try": attempt}
         case api.SetTimer(timer, delay):
-            return {"what": "wake_me", "cookie": timer, "in_ns": nanoseconds(delay)}
+            return {"what": "wake_me", "cookie": timer, "in_ns": ns_from_seconds(delay)}
         case api.WatchList(wanted):
             return {"what": "follow", "want": wanted}
         case api.FetchList():
--- a/micahold/benchlink/host.py
+++ b/micahold/benchlink/host.py
@@ -8,15 +8,15 @@
 from micahold import interface as api
 from micahold.benchlink import codec
 from micahold.controller import Controller
-from micahold.settings import FormatError, decode_settings, seconds
+from micahold.settings import FormatError, decode_settings, seconds_from_ns
 
 
-def complain(text: str) -> None:
+def write_error(text: str) -> None:
     """One line on standard error; standard output is the wire's alone."""
     print(f"micahold: {text}", file=sys.stderr, flush=True)
 
 
-class Host:
+class ControllerHost:
     """The instances of this process and the numbered lists that the wire hands to all of them."""
 
     def __init__(self) -> None:
@@ -26,14 +26,14 @@
             str, tuple[set[int], set[str]]
         ] = {}  # requests and engines each instance was told of
 
-    def answer(self, batch: Any) -> dict[str, Any]:
+    def handle_batch(self, batch: Any) -> dict[str, Any]:
         """The reply to one batch; ``FormatError`` when it is not one."""
         if not isinstance(batch, dict) or not isinstance(batch.get("ts_ns"), int):
             raise FormatError("a batch is an object with an integer 'ts_ns'")
         groups = batch.get("groups")
         if not isinstance(groups, list):
             raise FormatError("a batch has an array 'groups'")
-        now = seconds(batch["ts_ns"])
+        now = seconds_from_ns(batch["ts_ns"])
         replies = []
         for group in groups:
             if not isinstance(group, dict) or not isinstance(group.get("who"), str):
@@ -63,10 +63,10 @@
                     events = []
                     self.controllers.pop(who, None)
                 elif what == "sheet":
-                    lines = tuple(codec.decode_entry(line) for line in item.get("members_list") or [])
+                    lines = tuple(codec.decode_engine_entry(line) for line in item.get("members_list") or [])
                     self.lists[item.get("table", 0)] = lines
                 elif what == "update":
-                    update = codec.decode_update(item, self.lists)
+                    update = codec.decode_list_update(item, self.lists)
                     self.named[who][1].update(line.engine for line in update.entries)
                     events.append(update)
                 else:
@@ -75,7 +75,7 @@
                         self._check_names(who, event)
                         events.append(event)
             except FormatError as error:
-                complain(f"{who}: {error}")
+                write_error(f"{who}: {error}")
         self._decide(who, now, events, out)
         return out
 
@@ -86,9 +86,9 @@
             requests.add(event.query)
         elif isinstance(event, api.AttemptEnded | api.AttemptStatus | api.AttemptStreaming):
             if event.query not in requests:
-                complain(f"{who}: unknown request {event.query}")
+                write_error(f"{who}: unknown request {event.query}")
             elif event.engine not in engines:
-                complain(f"{who}: unknown engine {event.engine!r}")
+                write_error(f"{who}: unknown engine {event.engine!r}")
 
     def _launch(self, who: str, item: dict[str, Any], out: list[dict[str, Any]]) -> None:
         self.controllers.pop(who, None)
@@ -104,7 +104,7 @@
             return
         controller = self.controllers.get(who)
         if controller is None:
-            complain(f"{who}: events for an instance that is not running")
+            write_error(f"{who}: events for an instance that is not running")
             return
         try:
             out.extend(codec.encode_action(action) for action in controller.handle(now, events))
@@ -114,5 +114,5 @@
     def _fault(self, who: str, error: Exception, out: list[dict[str, Any]]) -> None:
         self.controllers.pop(who, None)
         text = f"{type(error).__name__}: {error}"
-        complain(f"{who}: fault in the decisions: {text}")
+        write_error(f"{who}: fault in the decisions: {text}")
         out.append({"what": "fatal", "line": text})
--- a/micahold/counters.py
+++ b/micahold/counters.py
@@ -14,7 +14,7 @@
     def add(self, name: str, number: int = 1) -> None:
         self.values[name] += number
 
-    def most(self, name: str, number: int) -> None:
+    def record_max(self, name: str, number: int) -> None:
         """Keep the highest figure seen, under ``most_`` and the name."""
         if number > self.values["most_" + name]:
             self.values["most_" + name] = number
--- a/micahold/program/front.py
+++ b/micahold/program/front.py
@@ -100,7 +100,7 @@
             counters,
             log,
             clock.call_at_iteration_end,
-            late_by=clock.timer_lateness,
+            timer_lateness=clock.timer_lateness,
         )
         self.sessions = ClientSessions(
             clock,
@@ -115,7 +115,7 @@
         self.channel = CommandChannel(
             clock, configuration.channel, configuration.cursor, self._list_event, counters, log
         )
-        self.collector = GarbageCollector(clock, lambda: self.exchange.unanswered == 0, counters.add)
+        self.collector = GarbageCollector(clock, lambda: self.exchange.unanswered_count == 0, counters.add)
         self.subsystems: Subsystems | None = None
         self._port: Any = None
         self._give_up_at = 0.0
@@ -128,7 +128,7 @@
         """The known list, then the channel and clients; ``CannotListenError`` if the address is taken."""
         self.log.defer_flushes(lambda: self.clock.callLater(POLL_INTERVAL_S, self._write_log))
         for news in self.configuration.initial_list_events:
-            self.exchange.list_changed(news)
+            self.exchange.apply_list_update(news)
         host, port = self.configuration.listen
         self._port = self.clock.listenTCP(port, self.sessions, backlog=LISTEN_BACKLOG, interface=host)
         self.channel.start()
@@ -146,7 +146,7 @@
 
     def _measure_lag(self, due: float) -> None:
         now = self.clock.seconds()
-        self.counters.most("loop_late_ms", round((now - due) * 1000))
+        self.counters.record_max("loop_late_ms", round((now - due) * 1000))
         self.clock.callLater(LATENESS_SAMPLE_INTERVAL_S, self._measure_lag, now + LATENESS_SAMPLE_INTERVAL_S)
 
     def _list_event(self, data: bytes) -> bool:
@@ -160,7 +160,7 @@
             self.counters.add("list_events_unreadable")
             self.log("list_event_unreadable", error=str(problem))
             return False
-        self.exchange.list_changed(news)
+        self.exchange.apply_list_update(news)
         return True
 
     # New configurations
@@ -202,7 +202,7 @@
         kill_after = min(longest, MAX_COUNTED_DEADLINE_S) + NOTICE_PERIOD_S
         left = max(NOTICE_PERIOD_S, kill_after - KILL_MARGIN_S - FLUSH_TIMEOUT_S)
         self._give_up_at = self.clock.seconds() + left
-        self.exchange.close_within(left - DECISION_MARGIN_S)
+        self.exchange.begin_shutdown(left - DECISION_MARGIN_S)
         if self.subsystems is not None:
             self.subsystems.leave()
         self.clock.callLater(NOTICE_PERIOD_S, self._drain)
@@ -214,13 +214,13 @@
 
     def _await_answers(self) -> None:
         """What no engine has answered by the last moment is failed: an exit must leave nothing open."""
-        if self.exchange.unanswered and self.clock.seconds() < self._give_up_at:
+        if self.exchange.unanswered_count and self.clock.seconds() < self._give_up_at:
             self.clock.callLater(POLL_INTERVAL_S, self._await_answers)
             return
         self._enter(Phase.CLOSING)
-        if self.exchange.unanswered:
-            self.log("given_up_at_exit", queries=self.exchange.unanswered)
-            self.exchange.give_up_all("server shutdown in progress")
+        if self.exchange.unanswered_count:
+            self.log("given_up_at_exit", queries=self.exchange.unanswered_count)
+            self.exchange.fail_open_queries("server shutdown in progress")
         self.channel.stop()
         self.sessions.close_idle()
         self._close_by = self.clock.seconds() + FLUSH_TIMEOUT_S
@@ -239,7 +239,7 @@
 
     def log_counters(self) -> None:
         more = self.subsystems.counters() if self.subsystems is not None else {}
-        self.log("counters", open=self.exchange.unanswered, **self.counters.snapshot(), **more)
+        self.log("counters", open=self.exchange.unanswered_count, **self.counters.snapshot(), **more)
 
 
 def format_listen_error(problem: error.CannotListenError) -> str:
--- a/micahold/program/operator.py
+++ b/micahold/program/operator.py
@@ -64,7 +64,7 @@
                 group,
                 self.settings.gossip.listen,
                 bind_logger(log, part="gossip").info,
-                front.exchange.tell,
+                front.exchange.post_event,
                 self.settings.gossip.hearsay,
             )
             front.exchange.observer = self.gossip.observe
--- a/micahold/routing/exchange.py
+++ b/micahold/routing/exchange.py
@@ -26,13 +26,13 @@
 from micahold.transport.timers import TimerQueue
 
 
-class Decider(Protocol):
+class ControllerProtocol(Protocol):
     """What the exchange needs of the decision module."""
 
     def handle(self, now: float, events: list[api.Event]) -> list[api.Action]: ...
 
 
-MOST_WAITS = 2.0  # a wait of so many deadlines of its class is no usable figure
+MAX_WAIT_DEADLINE_MULTIPLE = 2.0  # a wait of so many deadlines of its class is no usable figure
 
 
 @dataclass(slots=True, eq=False)
@@ -63,19 +63,19 @@
         counters: Counters,
         log: Callable[..., None],
         at_turn_end: Callable[[Callable[[], None]], Any],
-        decider: Callable[[api.Settings, int], Decider] = Controller,
-        late_by: Callable[[], float] = lambda: 0.0,
+        controller_factory: Callable[[api.Settings, int], ControllerProtocol] = Controller,
+        timer_lateness: Callable[[], float] = lambda: 0.0,
     ) -> None:
-        self.late_by = late_by
+        self.timer_lateness = timer_lateness
         self.settings, self.seed, self.clock, self.now = settings, seed, clock, now
         self.pools, self.directory, self.counters, self.log = pools, directory, counters, log
         self.classes = {one.name.encode(): index for index, one in enumerate(settings.classes)}
         self.tenants = {one.name.encode(): index for index, one in enumerate(settings.tenants)}
         self.timers = TimerQueue(clock)
         self.queries: dict[int, OpenQuery] = {}
-        self.unanswered = 0
-        self._decider = decider
-        self._controller: Decider = decider(settings, seed)
+        self.unanswered_count = 0
+        self._controller_factory = controller_factory
+        self._controller: ControllerProtocol = controller_factory(settings, seed)
         self._by = inf  # all has to be answered by then
         self._generation = 0  # of the controller: timers of an earlier one are void
         self._ids: set[bytes] = set()
@@ -87,7 +87,7 @@
 
     # What happens
 
-    def tell(self, event: api.Event) -> None:
+    def post_event(self, event: api.Event) -> None:
         """An event from another subsystem for the decisions."""
         self._happened(event)
 
@@ -111,7 +111,7 @@
             raise UnusableQueryError("unknown tenant")
         if query.id in self._ids:
             raise UnusableQueryError("this id is open already")
-        if query.wait > MOST_WAITS * self.settings.classes[query_class].deadline_s:
+        if query.wait > MAX_WAIT_DEADLINE_MULTIPLE * self.settings.classes[query_class].deadline_s:
             raise UnusableQueryError("field wait is out of range")
         if left <= 0:
             raise UnusableQueryError("past its wait on arrival")
@@ -120,12 +120,12 @@
         self._last += 1
         number = self._last
         # The decisions are told the deadline that the front can keep, with its own lateness taken off.
-        item = OpenQuery(query, reply, now - waited, min(self._by, now + left - self.late_by()))
+        item = OpenQuery(query, reply, now - waited, min(self._by, now + left - self.timer_lateness()))
         self.queries[number] = item
         self._ids.add(query.id)
-        self.unanswered += 1
+        self.unanswered_count += 1
         self.counters.add("queries_taken")
-        self.counters.most("queries_open", self.unanswered)
+        self.counters.record_max("queries_open", self.unanswered_count)
         # Should the decisions ever miss a deadline, the client still gets its answer within the slack.
         slack = self.settings.rules.answer_slack_s
         item.overdue = self.timers.call_later(left + slack, self._overdue, number)
@@ -143,7 +143,7 @@
         )
         return number
 
-    def close_within(self, seconds: float) -> None:
+    def begin_shutdown(self, seconds: float) -> None:
         """The program ends: the decisions are told by when, so that they can refuse what will not be served.
 
         Guards against queries that stand open until the exit fails them, too late to ask elsewhere.
@@ -165,7 +165,7 @@
         self._close(ticket, item, "dropped")
         self._happened(api.QueryDropped(ticket))
 
-    def list_changed(self, news: ListNews) -> None:
+    def apply_list_update(self, news: ListNews) -> None:
         """News of the engine list: the directory first, since calls look there as they are written."""
         for engine in self.directory.update(news):
             self.pools.close_idle(engine)  # it is gone, or listens elsewhere now
@@ -230,7 +230,7 @@
         self._flushing = False
         events, self._events = self._events, []
         self.counters.add("batches")
-        self.counters.most("batch_events", len(events))
+        self.counters.record_max("batch_events", len(events))
         try:
             actions = self._controller.handle(self.now(), events)
         except Exception as problem:
@@ -247,10 +247,10 @@
         """Start the decisions over: what is open is failed, for a new controller knows nothing of it."""
         self.log("decisions_fault", error=f"{type(problem).__name__}: {problem}")
         self.counters.add("decisions_faults")
-        self.give_up_all("internal error")
+        self.fail_open_queries("internal error")
         self._generation += 1
         self._events.clear()
-        self._controller = self._decider(self.settings, self.seed + self._generation)
+        self._controller = self._controller_factory(self.settings, self.seed + self._generation)
         entries = tuple(self._entries.values())
         self._happened(api.ListUpdate(api.ListKind.FULL, 0, entries))
 
@@ -281,7 +281,7 @@
 
     def _timer(self, timer: int, generation: int, due: float) -> None:
         if generation == self._generation:
-            self.counters.most("timer_late_ms", round((self.now() - due) * 1000))
+            self.counters.record_max("timer_late_ms", round((self.now() - due) * 1000))
             self._happened(api.TimerFired(timer))
 
     def _send(self, number: int, engine: str, expires: float) -> None:
@@ -340,7 +340,7 @@
 
     def _close(self, number: int, item: OpenQuery, kind: str, why: api.GiveUpReason | None = None) -> None:
         item.answered = True
-        self.unanswered -= 1
+        self.unanswered_count -= 1
         if item.overdue is not None and item.overdue.active():
             item.overdue.cancel()
         now = self.now()
@@ -361,7 +361,7 @@
         if item.answered and item.out == 0 and self.queries.pop(number, None) is not None:
             self._ids.discard(item.asked.id)
 
-    def give_up_all(self, text: str) -> None:
+    def fail_open_queries(self, text: str) -> None:
         """End every open query at once, as failed, which promises nothing of what may have run."""
         for number, item in list(self.queries.items()):
             if not item.answered:
--- a/micahold/settings.py
+++ b/micahold/settings.py
@@ -10,30 +10,30 @@
 
 from micahold import interface as api
 
-Json = Mapping[str, Any]
+JsonObject = Mapping[str, Any]
 
 NS_PER_S = 1_000_000_000
 
-EFFECTS = {
+REPEAT_SAFETY_BY_EFFECT = {
     "retryable": api.RepeatSafety.SAFE,
     "dedup": api.RepeatSafety.KEYED,
     "fragile": api.RepeatSafety.UNSAFE,
 }
-SCOPES = {"all": api.DedupScope.ALL, "zone": api.DedupScope.ZONE, "cell": api.DedupScope.CELL}
+DEDUP_SCOPE_BY_GROUP = {"all": api.DedupScope.ALL, "zone": api.DedupScope.ZONE, "cell": api.DedupScope.CELL}
 REPORT_SOURCES = {"piggyback": "answers", "pull": "probe", "silent": "none"}
-WHEN_SHORT = {"line_up": "wait", "cut": "shrink", "overcommit": "page"}
+MEMORY_SHORTAGE_POLICIES = {"line_up": "wait", "cut": "shrink", "overcommit": "page"}
 
 
 class FormatError(ValueError):
     """Input that is not of the agreed form; the text names what is wrong."""
 
 
-def seconds(value: Any) -> float:
+def seconds_from_ns(value: Any) -> float:
     """Nanoseconds as seconds."""
     return float(value or 0) / NS_PER_S
 
 
-def choice(table: Mapping[Any, Any], value: Any, what: str) -> Any:
+def look_up(table: Mapping[Any, Any], value: Any, what: str) -> Any:
     try:
         return table[value]
     except (KeyError, TypeError):
@@ -44,25 +44,25 @@
     return values[index] if values and index < len(values) else default
 
 
-def _allowed(item: Json, name: str, names: list[Any]) -> frozenset[int] | None:
+def _allowed(item: JsonObject, name: str, names: list[Any]) -> frozenset[int] | None:
     """Indices of a class's allowed kinds or zones; the wire gives indices, names are taken as well."""
     if item.get(name) is None:
         return None
     return frozenset(names.index(one) if one in names else int(one) for one in item[name])
 
 
-def _query_class(index: int, item: Json, env: Json) -> api.QueryClass:
+def _query_class(index: int, item: JsonObject, env: JsonObject) -> api.QueryClass:
     family = env.get("family_info") or {}
     return api.QueryClass(
         name=str(item.get("name", "")),
         worth=float(item.get("worth", 1.0)),
         late_worth_share=float(item.get("late_share", 0.0)),
-        soft_deadline_s=seconds(item.get("aim_ns")),
+        soft_deadline_s=seconds_from_ns(item.get("aim_ns")),
         soft_deadline_stretch=float(item.get("aim_stretch", 0.0)),
-        deadline_s=seconds(item.get("deadline_ns")),
-        repeat_safety=choice(EFFECTS, item.get("effect", "fragile"), "effect"),
-        dedup_scope=choice(SCOPES, item.get("group", "all"), "group"),
-        dedup_window_s=seconds(item.get("window_ns")),
+        deadline_s=seconds_from_ns(item.get("deadline_ns")),
+        repeat_safety=look_up(REPEAT_SAFETY_BY_EFFECT, item.get("effect", "fragile"), "effect"),
+        dedup_scope=look_up(DEDUP_SCOPE_BY_GROUP, item.get("group", "all"), "group"),
+        dedup_window_s=seconds_from_ns(item.get("window_ns")),
         streamed=bool(item.get("stream", False)),
         ordered_by_key=bool(item.get("sequential", False)),
         allowed_kinds=_allowed(item, "served_on", list(env.get("models") or [])),
@@ -73,7 +73,7 @@
     )
 
 
-def _limits(bounds: Json) -> api.Limits:
+def _limits(bounds: JsonObject) -> api.Limits:
     return api.Limits(
         cancel_allowed=bool(bounds.get("cancel", False)),
         probing_allowed=bool(bounds.get("probing", False)),
@@ -82,32 +82,32 @@
         second_copies_allowed=bool(bounds.get("second_copies", False)),
         max_attempts=int(bounds.get("max_attempts", 1)),
         max_open_queries=int(bounds.get("max_open", 0)),
-        max_retry_after_s=seconds(bounds.get("max_retry_after_ns")),
-        connect_timeout_s=seconds(bounds.get("connect_timeout_ns")),
-        idle_timeout_s=seconds(bounds.get("idle_close_ns")),
+        max_retry_after_s=seconds_from_ns(bounds.get("max_retry_after_ns")),
+        connect_timeout_s=seconds_from_ns(bounds.get("connect_timeout_ns")),
+        idle_timeout_s=seconds_from_ns(bounds.get("idle_close_ns")),
         streams_per_connection=int(bounds.get("streams_per_conn", 1)),
         cpu_us_per_s=float(bounds.get("cpu_us_per_s", 0.0)),
         cpu_us_per_query=float(bounds.get("cpu_us_per_request", 0.0)),
     )
 
 
-def _rules(figures: Json) -> api.Rules:
+def _rules(figures: JsonObject) -> api.Rules:
     return api.Rules(
-        answer_slack_s=seconds(figures.get("answer_slack_ns")),
-        ask_within_s=seconds(figures.get("ask_within_ns")),
-        drain_grace_s=seconds(figures.get("drain_grace_ns")),
+        answer_slack_s=seconds_from_ns(figures.get("answer_slack_ns")),
+        ask_within_s=seconds_from_ns(figures.get("ask_within_ns")),
+        drain_grace_s=seconds_from_ns(figures.get("drain_grace_ns")),
         cold_initial_speed=float(figures.get("cold_from", 1.0)),
-        cold_duration_s=seconds(figures.get("cold_ns")),
+        cold_duration_s=seconds_from_ns(figures.get("cold_ns")),
         cold_budget_multiple=float(figures.get("tip_multiple", 1.0)),
-        cold_window_s=seconds(figures.get("tip_after_ns")),
-        order_settle_s=seconds(figures.get("turn_gap_ns")),
+        cold_window_s=seconds_from_ns(figures.get("tip_after_ns")),
+        order_settle_s=seconds_from_ns(figures.get("turn_gap_ns")),
         retry_budget_floor=float(figures.get("extra_free", 0.0)),
         retry_budget_ratio=float(figures.get("repeat_ratio", 0.0)),
-        retry_window_s=seconds(figures.get("budget_span_ns")),
+        retry_window_s=seconds_from_ns(figures.get("budget_span_ns")),
     )
 
 
-def decode_settings(env: Json) -> api.Settings:
+def decode_settings(env: JsonObject) -> api.Settings:
     """The settings in a ``launch``."""
     try:
         family = env.get("family_info") or {}
@@ -157,19 +157,19 @@
             else str(env.get("weight_source", "none")),
             report_source=REPORT_SOURCES.get(report.get("source", "silent"), "none"),
             report_columns=tuple(str(name) for name in report.get("columns") or []),
-            tick_s=seconds(env.get("round_ns")),
+            tick_s=seconds_from_ns(env.get("round_ns")),
             memory_grants_honored=bool(family.get("grants", False)),
             priorities_honored=bool(family.get("ranks_heeded", False)),
             max_grant=float(family.get("grant_cap", 0.0)),
-            memory_shortage_policy=WHEN_SHORT.get(family.get("when_short", ""), ""),
-            status_period_s=seconds(family.get("tells_every_ns")),
+            memory_shortage_policy=MEMORY_SHORTAGE_POLICIES.get(family.get("when_short", ""), ""),
+            status_period_s=seconds_from_ns(family.get("tells_every_ns")),
             engines_report_cost=bool(family.get("tells_cost", False)),
         )
     except (AttributeError, TypeError, ValueError) as error:
         raise FormatError(f"bad settings: {error}") from None
 
 
-def decode_report(values: Json | None) -> api.LoadReport | None:
+def decode_report(values: JsonObject | None) -> api.LoadReport | None:
     """A load report by the names of the settings; None where there is none."""
     if not values:
         return None
--- a/micahold/transport/calls.py
+++ b/micahold/transport/calls.py
@@ -255,7 +255,7 @@
         call.new_connection, call.self_identifying = new_connection, self_identifying
         if self.waiting_calls or not self._place(call):
             heappush(self.waiting_calls, (due_at, next(self._serial), call))
-            self.counters.most("calls_in_line", len(self.waiting_calls))
+            self.counters.record_max("calls_in_line", len(self.waiting_calls))
         return call
 
     def dispatch_waiting(self) -> None:
@@ -283,7 +283,7 @@
         if self.open_connections >= self.max_connections and not self._close_oldest():
             return False
         self.open_connections += 1
-        self.counters.most("engine_connections", self.open_connections)
+        self.counters.record_max("engine_connections", self.open_connections)
         self.counters.add("engine_connects")
         self.clock.connectTCP(*address, _Connecting(self, address, call), timeout=self.connect_timeout)
         return True
--- a/micahold/transport/clients.py
+++ b/micahold/transport/clients.py
@@ -393,7 +393,7 @@
             self.counters.add("client_connections_turned_away")
             return False
         self._sessions[session.connection_id] = session
-        self.counters.most("client_connections_open", len(self._sessions))
+        self.counters.record_max("client_connections_open", len(self._sessions))
         return True
 
     def _make_room(self) -> bool:
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -56,7 +56,7 @@
         return port
 
 
-class Server:
+class ThreadedServer:
     """One thread a connection; ends with the test's process."""
 
     def __init__(self) -> None:
@@ -94,7 +94,7 @@
         raise NotImplementedError
 
 
-class Engine(Server):
+class Engine(ThreadedServer):
     """Answers a statement by the word in it: 'rows' at once, 'slow' after a second, 'full', 'hold' never."""
 
     def __init__(self) -> None:
@@ -136,7 +136,7 @@
         connection.sendall(head.encode() + body)
 
 
-class Channel(Server):
+class Channel(ThreadedServer):
     """A stream of comments, and the events that a test adds."""
 
     def __init__(self) -> None:
@@ -206,7 +206,7 @@
         self.socket.close()
 
 
-def until(true: Callable[[], Any], seconds: float = 10.0) -> None:
+def wait_until(true: Callable[[], Any], seconds: float = 10.0) -> None:
     """Waits for something to become true; fails the test where it does not."""
     end = time.monotonic() + seconds
     while not true():
--- a/tests/test_benchlink.py
+++ b/tests/test_benchlink.py
@@ -15,7 +15,7 @@
 
 from micahold import interface as api
 from micahold.benchlink import codec
-from micahold.benchlink.host import Host
+from micahold.benchlink.host import ControllerHost
 from micahold.settings import FormatError, decode_settings
 
 ROOT = Path(__file__).parent.parent
@@ -175,31 +175,31 @@
 
 
 def test_a_numbered_list_is_replaced_within_a_batch() -> None:
-    host = Host()
+    host = ControllerHost()
     other = {**SHEET, "members_list": [{"condition": "SERVING", "engine": "ec"}]}
     news = [*START, other, {"what": "update", "how": "replace", "revision": 5}, call()]
-    (sent,) = out(host.answer(batch(10.0, *news)), "relay")
+    (sent,) = out(host.handle_batch(batch(10.0, *news)), "relay")
     assert sent["engine"] == "ec"
 
 
 def test_an_unavailable_list_leaves_the_earlier_one() -> None:
-    host = Host()
+    host = ControllerHost()
     news = [*START, {"what": "update", "how": "unavailable"}, call()]
-    assert len(out(host.answer(batch(10.0, *news)), "relay")) == 1
+    assert len(out(host.handle_batch(batch(10.0, *news)), "relay")) == 1
 
 
 def test_stop_and_launch_in_one_batch_forget_everything(capsys: pytest.CaptureFixture[str]) -> None:
-    host = Host()
-    first = host.answer(batch(10.0, *START, call(1)))
+    host = ControllerHost()
+    first = host.handle_batch(batch(10.0, *START, call(1)))
     (sent,) = out(first, "relay")
     late = {"what": "answer", "txn": 1, "engine": sent["engine"], "result": 20}
-    reply = host.answer(batch(10.1, {"what": "stop"}, *START, late))
+    reply = host.handle_batch(batch(10.1, {"what": "stop"}, *START, late))
     assert not out(reply, "relay")
     assert "unknown request 1" in capsys.readouterr().err
 
 
 def test_an_event_for_an_instance_that_is_not_running_is_told(capsys: pytest.CaptureFixture[str]) -> None:
-    assert Host().answer(batch(10.0, call())) == {"groups": []}
+    assert ControllerHost().handle_batch(batch(10.0, call())) == {"groups": []}
     assert "front/0" in capsys.readouterr().err
 
 
@@ -207,28 +207,28 @@
 def test_outcomes_of_what_was_never_named_are_told_and_ignored(
     txn: int, engine: str, said: str, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    host = Host()
-    host.answer(batch(10.0, *START, call(7)))
+    host = ControllerHost()
+    host.handle_batch(batch(10.0, *START, call(7)))
     late = {"what": "answer", "txn": txn, "engine": engine, "result": 10, "settled": True}
-    host.answer(batch(10.1, late))
+    host.handle_batch(batch(10.1, late))
     assert said in capsys.readouterr().err
 
 
 def test_a_drop_of_an_unknown_request_is_legal(capsys: pytest.CaptureFixture[str]) -> None:
-    host = Host()
-    host.answer(batch(10.0, *START, {"what": "dropped", "txn": 5}))
+    host = ControllerHost()
+    host.handle_batch(batch(10.0, *START, {"what": "dropped", "txn": 5}))
     assert capsys.readouterr().err == ""
 
 
 def test_a_fault_of_the_decisions_is_the_wires_message(monkeypatch: pytest.MonkeyPatch) -> None:
-    host = Host()
-    host.answer(batch(10.0, *START))
+    host = ControllerHost()
+    host.handle_batch(batch(10.0, *START))
 
     def broken(*_: object) -> list[api.Action]:
         raise RuntimeError("out of order")
 
     monkeypatch.setattr(host.controllers["front/0"], "handle", broken)
-    (fault,) = out(host.answer(batch(10.1, call())), "fatal")
+    (fault,) = out(host.handle_batch(batch(10.1, call())), "fatal")
     assert "out of order" in fault["line"]
 
 
@@ -276,10 +276,10 @@
 
 def test_instances_act_alike_in_one_process_and_in_two() -> None:
     def replies(keep: tuple[str, ...]) -> list[Any]:
-        host, done = Host(), []
+        host, done = ControllerHost(), []
         for one in day():
             groups = [group for group in one["groups"] if group["who"] in keep]
-            done += host.answer({**one, "groups": groups})["groups"]
+            done += host.handle_batch({**one, "groups": groups})["groups"]
         return [group for group in done if group["who"] == "front/0"]
 
     assert replies(("front/0",)) == replies(("front/0", "front/1"))
--- a/tests/test_end_to_end.py
+++ b/tests/test_end_to_end.py
@@ -15,7 +15,7 @@
 import pytest
 
 from tests.mysql_client import ServerError, command, query
-from tests.standins import Channel, Client, Engine, configuration, free_port, list_event, member, until
+from tests.standins import Channel, Client, Engine, configuration, free_port, list_event, member, wait_until
 
 ROOT = Path(__file__).parent.parent
 ROWS = [(b"a", b"1", b"x"), (b"b", b"2", b"y"), (b"c", b"3", b"")]
@@ -40,8 +40,8 @@
         )
 
     def serving(self) -> Program:
-        until(lambda: any(event["event"] == "phase" for event in self.events()))
-        until(lambda: self.channel.cursors)
+        wait_until(lambda: any(event["event"] == "phase" for event in self.events()))
+        wait_until(lambda: self.channel.cursors)
         return self
 
     def events(self) -> list[dict[str, Any]]:
@@ -93,16 +93,16 @@
 def test_a_query_is_cancelled(program: Program) -> None:
     client, killer = Client(program.port), Client(program.port)
     client.send(query(b"/* class=lookup,id=00000000000000aa,wait=4000,tenant=one */ SELECT hold FROM s_3.t"))
-    until(lambda: program.engine.started)
+    wait_until(lambda: program.engine.started)
     killer.send(query(b"KILL QUERY %d" % client.id))
     assert killer.read()[4] == 0
-    until(lambda: not program.engine.started)  # DELETE came
+    wait_until(lambda: not program.engine.started)  # DELETE came
 
 
 def test_a_drain_answers_what_was_taken_and_ends_with_0(program: Program) -> None:
     client = Client(program.port)
     client.send(query(b"/* class=lookup,id=00000000000000aa,wait=4000,tenant=one */ SELECT slow FROM s_3.t"))
-    until(lambda: program.engine.started)
+    wait_until(lambda: program.engine.started)
     program.process.send_signal(signal.SIGTERM)
     program.process.send_signal(signal.SIGTERM)
     late = Client(program.port)  # the notice has only begun
@@ -120,9 +120,9 @@
     client = Client(program.port)
     assert client.ask(1, b"SELECT rows FROM s_3.t") == ROWS
     client.send(query(b"/* class=lookup,id=00000000000000aa,wait=4000,tenant=one */ SELECT hold FROM s_3.t"))
-    until(lambda: f"{0xAA:016x}" in program.engine.started)
+    wait_until(lambda: f"{0xAA:016x}" in program.engine.started)
     program.process.send_signal(signal.SIGUSR1)
-    until(lambda: any(event["event"] == "counters" for event in program.events()))
+    wait_until(lambda: any(event["event"] == "counters" for event in program.events()))
     counts = program.counters()
     assert counts["queries_taken"] == 2
     assert counts["queries_served"] + counts["open"] == 2
@@ -136,8 +136,8 @@
         list_event(4, member("s-1", program.engine.port, "Terminating"), member("s-2", other.port))
     )
     program.process.send_signal(signal.SIGUSR1)
-    until(lambda: client.ask(time.monotonic_ns() % 2**60, b"SELECT rows FROM s_3.t") and other.requests)
-    until(lambda: len(other.requests) >= 2)
+    wait_until(lambda: client.ask(time.monotonic_ns() % 2**60, b"SELECT rows FROM s_3.t") and other.requests)
+    wait_until(lambda: len(other.requests) >= 2)
     assert len(program.engine.requests) >= before
     after = len(program.engine.requests)
     assert client.ask(3, b"SELECT rows FROM s_3.t") == ROWS
@@ -178,14 +178,14 @@
     for before, text in enumerate(("", "{", json.dumps({**item, "channel": "nowhere"}))):
         path.write_text(text)
         program.process.send_signal(signal.SIGHUP)
-        until(lambda before=before: refused() > before)  # type: ignore[misc]
+        wait_until(lambda before=before: refused() > before)  # type: ignore[misc]
     path.write_text(json.dumps({**item, "channel": f"127.0.0.1:{other.port}"}))
     for _ in range(3):
         program.process.send_signal(signal.SIGHUP)
-    until(lambda: other.cursors == ["3"])
+    wait_until(lambda: other.cursors == ["3"])
     other.events.append(list_event(4, member("s-2", engine.port)))
     client = Client(program.port)
-    until(lambda: client.ask(time.monotonic_ns() % 2**60, b"SELECT rows FROM s_3.t") and engine.requests)
+    wait_until(lambda: client.ask(time.monotonic_ns() % 2**60, b"SELECT rows FROM s_3.t") and engine.requests)
     assert other.cursors == ["3"]
     program.process.send_signal(signal.SIGTERM)
     program.process.send_signal(signal.SIGHUP)
--- a/tests/test_exchange.py
+++ b/tests/test_exchange.py
@@ -68,7 +68,7 @@
             self.at_turn_end,
             self.decider,
         )
-        self.exchange.list_changed(news(a="up", b="up"))
+        self.exchange.apply_list_update(news(a="up", b="up"))
         self.turn()
 
     def log(self, event: str, **fields: Any) -> None:
@@ -88,7 +88,7 @@
     def want(self, *actions: api.Action) -> None:
         """The answer to the next batch, which news that hold nothing bring about."""
         self.decisions.wanted = list(actions)
-        self.exchange.list_changed(news(2, full=False))
+        self.exchange.apply_list_update(news(2, full=False))
         self.turn()
 
     def ask(self, number: int = 1, **changes: str) -> tuple[int, Client]:
@@ -143,7 +143,7 @@
         world.exchange.submit(query(1, **changes), Client())
     world.turn()
     assert len(world.decisions.batches) == 1
-    assert world.exchange.unanswered == 0
+    assert world.exchange.unanswered_count == 0
 
 
 def test_an_id_that_is_open_already_cannot_be_taken_and_can_be_once_it_is_answered() -> None:
@@ -177,7 +177,7 @@
     final = api.Refuse(ticket, 0.5) if refusal else api.Fail(ticket)
     world.want(final, api.Fail(ticket), api.Refuse(ticket))
     assert [one for one, _ in client.answers] == [kind]
-    assert world.exchange.unanswered == 0
+    assert world.exchange.unanswered_count == 0
 
 
 def test_why_a_query_was_given_up_is_counted_by_class_and_logged() -> None:
@@ -282,7 +282,7 @@
 
 def test_the_deadline_told_is_one_that_a_late_front_can_keep() -> None:
     world = World()
-    world.exchange.late_by = lambda: 0.03
+    world.exchange.timer_lateness = lambda: 0.03
     world.ask()
     event = world.last()
     assert isinstance(event, api.QueryArrived)
@@ -349,8 +349,8 @@
     world.exchange.drop(tickets[3])
     counts = world.counters.values
     answered = counts["queries_served"] + counts["queries_refused"] + counts["queries_failed"]
-    assert (answered, counts["queries_dropped"], world.exchange.unanswered) == (3, 1, 2)
-    assert counts["queries_taken"] == answered + counts["queries_dropped"] + world.exchange.unanswered
+    assert (answered, counts["queries_dropped"], world.exchange.unanswered_count) == (3, 1, 2)
+    assert counts["queries_taken"] == answered + counts["queries_dropped"] + world.exchange.unanswered_count
 
 
 def test_giving_up_all_answers_all_and_leaves_no_attempt_out() -> None:
@@ -359,7 +359,7 @@
     _, other = world.ask(2)
     world.want(api.Send(ticket, "a"))
     world.links[0].up()
-    world.exchange.give_up_all("server shutdown in progress")
+    world.exchange.fail_open_queries("server shutdown in progress")
     assert [client.answers, other.answers] == [[("failed", "server shutdown in progress")]] * 2
     assert world.links[1].up().transport.sent().startswith(b"DELETE ")
 
@@ -390,7 +390,7 @@
     world = World()
     for number in range(300):
         name = f"a{number}"
-        world.exchange.list_changed(news(2 + number, full=False, **{name: "up"}))
+        world.exchange.apply_list_update(news(2 + number, full=False, **{name: "up"}))
         ticket, client = world.ask(number + 1)
         world.want(api.Send(ticket, name))
         link = world.links[-1].up()
@@ -401,7 +401,7 @@
         else:
             world.exchange.drop(ticket)
             world.want(api.Cancel(ticket, 0))
-        world.exchange.list_changed(news(2 + number, full=False, **{name: "gone"}))
+        world.exchange.apply_list_update(news(2 + number, full=False, **{name: "gone"}))
         world.turn(0.1)
         for one in world.links:
             if one.protocol is None:
@@ -422,7 +422,7 @@
     ticket, client = world.ask(1, wait="9000")
     world.want(api.Send(ticket, "a"))
     world.links[0].up()
-    world.exchange.close_within(1.0)
+    world.exchange.begin_shutdown(1.0)
     world.turn()
     by = world.clock.seconds() + 1.0
     closing = world.last()
--- a/tests/test_gossip_loopback.py
+++ b/tests/test_gossip_loopback.py
@@ -28,7 +28,7 @@
     write_members,
     write_own,
 )
-from tests.standins import Channel, Client, Engine, configuration, free_port, list_event, member, until
+from tests.standins import Channel, Client, Engine, configuration, free_port, list_event, member, wait_until
 
 ROOT = Path(__file__).parent.parent
 ROWS = 3
@@ -128,7 +128,7 @@
     fleet = Fleet(folder, 9, lying=1)
     try:
         fronts = fleet.names[:9]
-        until(lambda: all(fleet.alive(name) == set(fleet.names) - {name} for name in fronts), 30.0)
+        wait_until(lambda: all(fleet.alive(name) == set(fleet.names) - {name} for name in fronts), 30.0)
         clients = {name: Client(fleet.ports[name]) for name in fronts}
         answered, number = 0, 0
         for _ in range(8):
@@ -136,7 +136,7 @@
                 number += 1
                 answered += len(clients[name].ask(number, b"SELECT rows FROM s_3.t")) == ROWS
         assert answered == number
-        until(
+        wait_until(
             lambda: "g9" in {one["name"] for one in fleet.asked("g0")["members"] if one["credit"] is not None}
         )
         used = [len(one.requests) for one in fleet.engines]
@@ -157,7 +157,7 @@
 def test_a_key_changes_in_service_by_sighup_and_members_are_asked(folder: Path) -> None:
     fleet = Fleet(folder, 3)
     try:
-        until(lambda: all(fleet.alive(name) == set(fleet.names) - {name} for name in fleet.names), 20.0)
+        wait_until(lambda: all(fleet.alive(name) == set(fleet.names) - {name} for name in fleet.names), 20.0)
         own, members = str(folder / "g1.keys"), str(folder / "members.keys")
         run = CliRunner()
         assert run.invoke(command, ["keys", "make", "--own", own]).exit_code == 0
@@ -170,8 +170,8 @@
         assert [one.key for one in read_own(own)] == ["k1", "k2"]
         for name in ("g0", "g2", "g1"):
             fleet.processes[name].send_signal(signal.SIGHUP)
-            until(partial(fleet.events, name, "operator_reload"))
-        until(
+            wait_until(partial(fleet.events, name, "operator_reload"))
+        wait_until(
             lambda: all(
                 _incarnation(fleet, one, "g1") == fleet.asked("g1")["incarnation"] for one in ("g0", "g2")
             )
@@ -180,19 +180,19 @@
         assert run.invoke(command, retire).exit_code == 0
         for name in fleet.names:
             fleet.processes[name].send_signal(signal.SIGHUP)
-        until(lambda: all(len(fleet.events(one, "operator_reload")) == 2 for one in fleet.names))
-        until(lambda: all(fleet.asked(name)["counts"]["probes_good"] > 8 for name in fleet.names))
+        wait_until(lambda: all(len(fleet.events(one, "operator_reload")) == 2 for one in fleet.names))
+        wait_until(lambda: all(fleet.asked(name)["counts"]["probes_good"] > 8 for name in fleet.names))
         assert all(fleet.alive(name) == set(fleet.names) - {name} for name in fleet.names)
         # A file that can't be used changes nothing and ends nothing.
         (folder / "g0.sexp").write_text("(gossip (rate")
         fleet.processes["g0"].send_signal(signal.SIGHUP)
-        until(lambda: fleet.events("g0", "operator_reload_refused"))
+        wait_until(lambda: fleet.events("g0", "operator_reload_refused"))
         assert fleet.processes["g0"].poll() is None
         # A leave is told: nobody suspects it, and the bound falls.
         fleet.processes["g2"].send_signal(signal.SIGTERM)
         assert fleet.processes["g2"].wait(20) == 0
-        until(lambda: any(one["now"] == "left" for one in fleet.events("g1", "member")))
-        until(lambda: fleet.asked("g1")["bound"] == 2)
+        wait_until(lambda: any(one["now"] == "left" for one in fleet.events("g1", "member")))
+        wait_until(lambda: fleet.asked("g1")["bound"] == 2)
     finally:
         fleet.stop()
 
