--- a/micahold/routing/__init__.py
+++ b/micahold/routing/__init__.py
@@ -1,1 +1,1 @@
-"""The exchange: the only place where client side and engine side meet."""
+"""Connects client sessions, engine connections and the controller; no other package depends on all three."""
--- a/micahold/routing/exchange.py
+++ b/micahold/routing/exchange.py
@@ -1,6 +1,7 @@
-"""Between clients, engines and the decisions: happenings become events, actions are carried out.
+"""Connects clients and engines to the controller: turns I/O into events and executes the actions it returns.
 
-It decides nothing. All events of one reactor turn go to the controller as one batch.
+The exchange makes no routing or admission decisions. All events of one reactor iteration go to the controller
+as a single batch.
 """
 
 from __future__ import annotations
@@ -27,30 +28,32 @@
 
 
 class ControllerProtocol(Protocol):
-    """What the exchange needs of the decision module."""
+    """The part of the controller that the exchange calls."""
 
-    def handle(self, now: float, events: list[api.Event]) -> list[api.Action]: ...
+    def handle(self, now: float, events: list[api.Event]) -> list[api.Action]:
+        """Process one batch of events and return the actions to execute, in order."""
+        ...
 
 
-MAX_WAIT_DEADLINE_MULTIPLE = 2.0  # a wait of so many deadlines of its class is no usable figure
+MAX_WAIT_DEADLINE_MULTIPLE = 2.0  # a client wait above this multiple of its class's deadline is implausible
 
 
 @dataclass(slots=True, eq=False)
 class OpenQuery:
-    """A query from its arrival until it is answered and nothing of it is out."""
+    """A query from its arrival until it has its final answer and no attempt of it is in flight."""
 
-    asked: ClientQuery
+    request: ClientQuery
     reply: QueryReply
-    arrived: float
+    arrived_at: float
     deadline: float
     answered: bool = False
     attempts: list[Attempt] = field(default_factory=list)
-    out: int = 0
-    overdue: Any = None
+    in_flight: int = 0
+    overdue_timer: Any = None
 
 
 class Exchange:
-    """Owns the controller, its timers and the open queries."""
+    """Owns the controller, the timers it sets, and the open queries."""
 
     def __init__(
         self,
@@ -62,79 +65,97 @@
         directory: EngineDirectory,
         counters: Counters,
         log: Callable[..., None],
-        at_turn_end: Callable[[Callable[[], None]], Any],
+        call_at_iteration_end: Callable[[Callable[[], None]], Any],
         controller_factory: Callable[[api.Settings, int], ControllerProtocol] = Controller,
         timer_lateness: Callable[[], float] = lambda: 0.0,
     ) -> None:
+        """``timer_lateness`` returns by how many seconds the event loop currently runs timers late."""
         self.timer_lateness = timer_lateness
-        self.settings, self.seed, self.clock, self.now = settings, seed, clock, now
-        self.pools, self.directory, self.counters, self.log = pools, directory, counters, log
-        self.classes = {one.name.encode(): index for index, one in enumerate(settings.classes)}
-        self.tenants = {one.name.encode(): index for index, one in enumerate(settings.tenants)}
+        self.settings = settings
+        self.seed = seed
+        self.clock = clock
+        self.now = now
+        self.pools = pools
+        self.directory = directory
+        self.counters = counters
+        self.log = log
+        self.class_indices = {
+            query_class.name.encode(): index for index, query_class in enumerate(settings.classes)
+        }
+        self.tenant_indices = {tenant.name.encode(): index for index, tenant in enumerate(settings.tenants)}
         self.timers = TimerQueue(clock)
-        self.queries: dict[int, OpenQuery] = {}
+        self.open_queries: dict[int, OpenQuery] = {}
         self.unanswered_count = 0
         self._controller_factory = controller_factory
         self._controller: ControllerProtocol = controller_factory(settings, seed)
-        self._by = inf  # all has to be answered by then
-        self._generation = 0  # of the controller: timers of an earlier one are void
-        self._ids: set[bytes] = set()
-        self._last = 0
-        self._events: list[api.Event] = []
-        self._at_turn_end, self._flushing = at_turn_end, False
-        self._entries: dict[str, api.EngineEntry] = {}
-        self.observer: Callable[[api.Event], None] | None = None  # sees what the decisions are told from here
-
-    # What happens
+        self._answer_by = inf  # upper bound on every query's deadline; finite during shutdown
+        self._controller_generation = 0  # timers set by a controller that has been replaced are ignored
+        self._open_ids: set[bytes] = set()
+        self._last_number = 0
+        self._pending_events: list[api.Event] = []
+        self._call_at_iteration_end = call_at_iteration_end
+        self._flush_scheduled = False
+        self._engine_entries: dict[str, api.EngineEntry] = {}
+        # Called with every event before it is queued.
+        self.observer: Callable[[api.Event], None] | None = None
+
+    # Events
 
     def post_event(self, event: api.Event) -> None:
-        """An event from another subsystem for the decisions."""
-        self._happened(event)
+        """Queue an event from another subsystem for the controller."""
+        self._queue_event(event)
 
-    def _happened(self, event: api.Event) -> None:
+    def _queue_event(self, event: api.Event) -> None:
         if self.observer is not None:
             self.observer(event)
-        self._events.append(event)
-        if not self._flushing:
-            self._flushing = True
-            self._at_turn_end(self._flush)
+        self._pending_events.append(event)
+        if not self._flush_scheduled:
+            self._flush_scheduled = True
+            self._call_at_iteration_end(self._flush)
 
     def submit(self, query: ClientQuery, reply: QueryReply, waited: float = 0.0) -> int:
-        """A query of a client; ``UnusableQueryError`` where it can't be taken: nothing goes to an engine."""
+        """Register a client's query and return its number, which ``drop`` takes.
+
+        ``waited`` is how many seconds the query may have lain unread; they count towards its wait.
+        Raises ``UnusableQueryError`` for a query that can't be accepted, before the controller or an engine
+        receives anything of it.
+        """
         now = self.now()
-        left = query.wait - waited
-        query_class = self.classes.get(query.class_name)
-        tenant = self.tenants.get(query.tenant or b"") if self.tenants else 0
-        if query_class is None:
+        remaining = query.wait - waited
+        class_index = self.class_indices.get(query.class_name)
+        tenant_index = self.tenant_indices.get(query.tenant or b"") if self.tenant_indices else 0
+        if class_index is None:
             raise UnusableQueryError("unknown class")
-        if tenant is None:
+        if tenant_index is None:
             raise UnusableQueryError("unknown tenant")
-        if query.id in self._ids:
+        if query.id in self._open_ids:
             raise UnusableQueryError("this id is open already")
-        if query.wait > MAX_WAIT_DEADLINE_MULTIPLE * self.settings.classes[query_class].deadline_s:
+        if query.wait > MAX_WAIT_DEADLINE_MULTIPLE * self.settings.classes[class_index].deadline_s:
             raise UnusableQueryError("field wait is out of range")
-        if left <= 0:
+        if remaining <= 0:
             raise UnusableQueryError("past its wait on arrival")
-        if self.settings.classes[query_class].repeat_safety is api.RepeatSafety.KEYED and query.token is None:
+        if self.settings.classes[class_index].repeat_safety is api.RepeatSafety.KEYED and query.token is None:
             raise UnusableQueryError("field once is missing")
-        self._last += 1
-        number = self._last
-        # The decisions are told the deadline that the front can keep, with its own lateness taken off.
-        item = OpenQuery(query, reply, now - waited, min(self._by, now + left - self.timer_lateness()))
-        self.queries[number] = item
-        self._ids.add(query.id)
+        self._last_number += 1
+        number = self._last_number
+        # Subtracts the event loop's lateness, so that the controller plans for a deadline the front can keep.
+        open_query = OpenQuery(
+            query, reply, now - waited, min(self._answer_by, now + remaining - self.timer_lateness())
+        )
+        self.open_queries[number] = open_query
+        self._open_ids.add(query.id)
         self.unanswered_count += 1
         self.counters.add("queries_taken")
         self.counters.record_max("queries_open", self.unanswered_count)
-        # Should the decisions ever miss a deadline, the client still gets its answer within the slack.
+        # Should the controller miss the deadline, this timer still answers the client within the slack.
         slack = self.settings.rules.answer_slack_s
-        item.overdue = self.timers.call_later(left + slack, self._overdue, number)
-        self._happened(
+        open_query.overdue_timer = self.timers.call_later(remaining + slack, self._fail_overdue, number)
+        self._queue_event(
             api.QueryArrived(
                 query=number,
-                class_index=query_class,
-                tenant_index=tenant,
-                deadline=item.deadline,
+                class_index=class_index,
+                tenant_index=tenant_index,
+                deadline=open_query.deadline,
                 estimated_cost_s=query.cost,
                 estimated_memory_mb=query.memory_mb,
                 table_group=query.tables,
@@ -143,229 +164,260 @@
         )
         return number
 
-    def begin_shutdown(self, seconds: float) -> None:
-        """The program ends: the decisions are told by when, so that they can refuse what will not be served.
+    def begin_shutdown(self, timeout_s: float) -> None:
+        """Limit the deadlines of open and later queries to ``timeout_s`` from now and notify the controller.
 
-        Guards against queries that stand open until the exit fails them, too late to ask elsewhere.
+        This lets the controller refuse early what will not be served. Otherwise queries stay open until they
+        are failed at exit, which is too late for their clients to try another gateway.
         """
-        self._by = self.now() + seconds
-        for item in self.queries.values():
-            if not item.answered and item.deadline > self._by:
-                item.deadline = self._by
-                for attempt in item.attempts:
-                    attempt.shorten_expiry(self._by)
-        self._happened(api.GatewayClosing(self._by))
+        self._answer_by = self.now() + timeout_s
+        for open_query in self.open_queries.values():
+            if not open_query.answered and open_query.deadline > self._answer_by:
+                open_query.deadline = self._answer_by
+                for attempt in open_query.attempts:
+                    attempt.shorten_expiry(self._answer_by)
+        self._queue_event(api.GatewayClosing(self._answer_by))
 
     def drop(self, ticket: int) -> None:
-        """The client is gone."""
-        item = self.queries.get(ticket)
-        if item is None or item.answered:
+        """Close the query numbered ``ticket`` without an answer, because its client has disconnected."""
+        open_query = self.open_queries.get(ticket)
+        if open_query is None or open_query.answered:
             return
         self.counters.add("queries_dropped")
-        self._close(ticket, item, "dropped")
-        self._happened(api.QueryDropped(ticket))
+        self._close_query(ticket, open_query, "dropped")
+        self._queue_event(api.QueryDropped(ticket))
 
     def apply_list_update(self, news: ListNews) -> None:
-        """News of the engine list: the directory first, since calls look there as they are written."""
+        """Apply an update of the engine list to the directory, the pools and the controller.
+
+        The directory goes first, because calls look up an engine's address at the time they are written.
+        """
         for engine in self.directory.update(news):
-            self.pools.close_idle(engine)  # it is gone, or listens elsewhere now
+            self.pools.close_idle(engine)  # the engine has gone or has a new address
         if news.update.kind is not api.ListKind.CHANGES:
-            self._entries.clear()
+            self._engine_entries.clear()
         for entry in news.update.entries:
             if entry.state is api.EngineState.GONE:
-                self._entries.pop(entry.engine, None)  # ids are ever new: what has gone must not be kept
+                # Engine ids are not reused: keeping entries of engines that have gone would leak memory.
+                self._engine_entries.pop(entry.engine, None)
             else:
-                self._entries[entry.engine] = entry
+                self._engine_entries[entry.engine] = entry
         self.counters.add("list_updates")
-        self._happened(news.update)
-
-    def _attempt_ended(self, end: AttemptResult, number: int, attempt: int, engine: str, sent: float) -> None:
-        item = self.queries[number]
-        item.out -= 1
-        self.counters.add(f"attempts_{end.outcome.value}")
-        elapsed = self.now() - sent
-        result = end.result_set
-        if result is not None:
-            self._answer(number, "served", lambda reply: reply.send_result(result))
-        figures = parse_load(end.load_report, self.settings.report_columns)
-        self._happened(
+        self._queue_event(news.update)
+
+    def _on_attempt_end(
+        self, attempt_result: AttemptResult, number: int, attempt: int, engine: str, sent_at: float
+    ) -> None:
+        open_query = self.open_queries[number]
+        open_query.in_flight -= 1
+        self.counters.add(f"attempts_{attempt_result.outcome.value}")
+        elapsed = self.now() - sent_at
+        result_set = attempt_result.result_set
+        if result_set is not None:
+            self._answer(number, "served", lambda reply: reply.send_result(result_set))
+        load_values = parse_load(attempt_result.load_report, self.settings.report_columns)
+        self._queue_event(
             api.AttemptEnded(
                 query=number,
                 attempt=attempt,
                 engine=engine,
-                outcome=end.outcome,
+                outcome=attempt_result.outcome,
                 elapsed_s=elapsed,
-                query_settled=item.answered,
-                report=decode_report(figures),
+                query_settled=open_query.answered,
+                report=decode_report(load_values),
             )
         )
-        if end.outcome is not api.Outcome.OK:
+        if attempt_result.outcome is not api.Outcome.OK:
             self.log(
                 "attempt",
-                id=item.asked.id.decode(),
+                id=open_query.request.id.decode(),
                 attempt=attempt,
                 engine=engine,
-                outcome=end.outcome.value,
+                outcome=attempt_result.outcome.value,
                 s=round(elapsed, 4),
             )
-        self._forget(number, item)
+        self._remove_if_finished(number, open_query)
 
-    def _overdue(self, number: int) -> None:
-        item = self.queries[number]
-        if self._events:
-            # A late turn: the decisions have not yet seen what came due before this.
-            item.overdue = self.timers.call_later(0.001, self._overdue, number)
+    def _fail_overdue(self, number: int) -> None:
+        open_query = self.open_queries[number]
+        if self._pending_events:
+            # The event loop runs late: the controller has not yet processed events that were due earlier.
+            open_query.overdue_timer = self.timers.call_later(0.001, self._fail_overdue, number)
             return
         self.counters.add("queries_overdue")
-        self.log("query_overdue", id=item.asked.id.decode())
+        self.log("query_overdue", id=open_query.request.id.decode())
         self._answer(number, "failed", lambda reply: reply.fail("no answer in time"))
-        self._happened(api.QueryDropped(number))
-        for attempt in item.attempts:
+        self._queue_event(api.QueryDropped(number))
+        for attempt in open_query.attempts:
             attempt.abort(api.Outcome.CANCELLED)
 
-    # What the decisions want
+    # Actions
 
     def _flush(self) -> None:
-        """One batch; an error in the decisions is logged, and every query still gets its answer."""
-        self._flushing = False
-        events, self._events = self._events, []
+        """Pass the queued events to the controller and execute its actions.
+
+        An exception in the controller is logged, and every open query is still answered.
+        """
+        self._flush_scheduled = False
+        events = self._pending_events
+        self._pending_events = []
         self.counters.add("batches")
         self.counters.record_max("batch_events", len(events))
         try:
             actions = self._controller.handle(self.now(), events)
-        except Exception as problem:
-            self._fault(problem)
+        except Exception as error:
+            self._replace_controller(error)
             return
         for action in actions:
             try:
-                self._carry_out(action)
-            except Exception as problem:  # one action that can't be carried out must not take others along
-                self.log("action_error", action=repr(action), error=repr(problem))
+                self._execute(action)
+            except Exception as error:  # an action that fails must not prevent the execution of the others
+                self.log("action_error", action=repr(action), error=repr(error))
                 self.counters.add("action_errors")
 
-    def _fault(self, problem: Exception) -> None:
-        """Start the decisions over: what is open is failed, for a new controller knows nothing of it."""
-        self.log("decisions_fault", error=f"{type(problem).__name__}: {problem}")
+    def _replace_controller(self, error: Exception) -> None:
+        """Fail all open queries, which a new controller has no state for, and start a new controller."""
+        self.log("decisions_fault", error=f"{type(error).__name__}: {error}")
         self.counters.add("decisions_faults")
         self.fail_open_queries("internal error")
-        self._generation += 1
-        self._events.clear()
-        self._controller = self._controller_factory(self.settings, self.seed + self._generation)
-        entries = tuple(self._entries.values())
-        self._happened(api.ListUpdate(api.ListKind.FULL, 0, entries))
+        self._controller_generation += 1
+        self._pending_events.clear()
+        self._controller = self._controller_factory(self.settings, self.seed + self._controller_generation)
+        entries = tuple(self._engine_entries.values())
+        self._queue_event(api.ListUpdate(api.ListKind.FULL, 0, entries))
 
-    def _carry_out(self, action: api.Action) -> None:
+    def _execute(self, action: api.Action) -> None:
         match action:
             case api.Send(query, engine, expires):
-                self._send(query, engine, expires)
-            case api.Refuse(query, retry_after, why):
-                self._answer(query, "refused", lambda reply: reply.refuse(retry_after), why)
-            case api.Fail(query, why):
-                self._answer(query, "failed", lambda reply: reply.fail("failed"), why)
+                self._start_attempt(query, engine, expires)
+            case api.Refuse(query, retry_after, reason):
+                self._answer(query, "refused", lambda reply: reply.refuse(retry_after), reason)
+            case api.Fail(query, reason):
+                self._answer(query, "failed", lambda reply: reply.fail("failed"), reason)
             case api.Cancel(query, attempt):
-                item = self.queries.get(query)
-                if item is not None and attempt < len(item.attempts):
-                    item.attempts[attempt].abort(api.Outcome.CANCELLED)
+                open_query = self.open_queries.get(query)
+                if open_query is not None and attempt < len(open_query.attempts):
+                    open_query.attempts[attempt].abort(api.Outcome.CANCELLED)
             case api.SetTimer(timer, delay):
                 self.clock.callLater(
-                    max(0.0, delay), self._timer, timer, self._generation, self.now() + delay
+                    max(0.0, delay), self._on_timer, timer, self._controller_generation, self.now() + delay
                 )
             case api.CloseIdle(engine):
                 self.pools.close_idle(engine)
             case api.Log(line):
                 self.log("decisions", line=line)
             case api.WatchList() | api.FetchList():
-                pass  # the command channel tells of every change unasked
+                pass  # the command channel pushes every change of the engine list
             case _:
                 self.log("action_unsupported", action=type(action).__name__)
 
-    def _timer(self, timer: int, generation: int, due: float) -> None:
-        if generation == self._generation:
+    def _on_timer(self, timer: int, generation: int, due: float) -> None:
+        if generation == self._controller_generation:
             self.counters.record_max("timer_late_ms", round((self.now() - due) * 1000))
-            self._happened(api.TimerFired(timer))
+            self._queue_event(api.TimerFired(timer))
 
-    def _send(self, number: int, engine: str, expires: float) -> None:
-        item, now = self.queries.get(number), self.now()
-        if item is None:
+    def _start_attempt(self, number: int, engine: str, expires: float) -> None:
+        open_query = self.open_queries.get(number)
+        now = self.now()
+        if open_query is None:
             self.log("action_error", action="send for an unknown query")
             return
-        until = min(expires or item.deadline, item.deadline)
-        order = AttemptRequest(
+        expires_at = min(expires or open_query.deadline, open_query.deadline)
+        request = AttemptRequest(
             engine=engine,
-            query_id=item.asked.id,
-            class_name=item.asked.class_name,
-            token=item.asked.token,
-            statement=item.asked.statement,
-            expires_at=until,
-            deadline=item.deadline,
+            query_id=open_query.request.id,
+            class_name=open_query.request.class_name,
+            token=open_query.request.token,
+            statement=open_query.request.statement,
+            expires_at=expires_at,
+            deadline=open_query.deadline,
         )
-        index = len(item.attempts)
+        index = len(open_query.attempts)
 
-        def alive() -> None:
-            self._happened(api.AttemptStatus(number, index, engine, api.AttemptStatusKind.ALIVE))
+        def on_alive() -> None:
+            self._queue_event(api.AttemptStatus(number, index, engine, api.AttemptStatusKind.ALIVE))
 
-        attempt = Attempt(order, self.pools, self.directory, self.counters, self.now, self.timers, alive)
-        item.attempts.append(attempt)
-        item.out += 1
+        attempt = Attempt(request, self.pools, self.directory, self.counters, self.now, self.timers, on_alive)
+        open_query.attempts.append(attempt)
+        open_query.in_flight += 1
         self.counters.add("attempts_sent")
-        attempt.done.addCallback(self._attempt_ended, number, index, engine, now)
-        attempt.done.addErrback(self._attempt_error)
-        if item.answered or index >= self.settings.limits.max_attempts:
+        attempt.done.addCallback(self._on_attempt_end, number, index, engine, now)
+        attempt.done.addErrback(self._log_attempt_error)
+        if open_query.answered or index >= self.settings.limits.max_attempts:
             attempt.abort(api.Outcome.NOT_STARTED)
-        elif now >= until:
+        elif now >= expires_at:
             attempt.abort(api.Outcome.TIMEOUT)
         else:
             attempt.start()
 
-    def _attempt_error(self, failure: Failure) -> None:
+    def _log_attempt_error(self, failure: Failure) -> None:
         self.log("attempt_error", error=failure.getErrorMessage(), trace=failure.getBriefTraceback())
 
     # Final answers
 
     def _answer(
-        self, number: int, kind: str, give: Callable[[QueryReply], None], why: api.GiveUpReason | None = None
+        self,
+        number: int,
+        ending: str,
+        send: Callable[[QueryReply], None],
+        reason: api.GiveUpReason | None = None,
     ) -> None:
-        """The one final answer of a query; nothing where it has had that. ``why``: what the decisions say."""
-        item = self.queries.get(number)
-        if item is None or item.answered:
+        """Give a query its one final answer through ``send``; does nothing if it already has one.
+
+        ``ending`` is the suffix of the counter; ``reason`` is set where the controller gave the query up.
+        """
+        open_query = self.open_queries.get(number)
+        if open_query is None or open_query.answered:
             return
-        self.counters.add(f"queries_{kind}")
-        if why is not None:
-            self.counters.add(f"given_up_{item.asked.class_name.decode()}_{why.value}")
-        self._close(number, item, kind, why)
+        self.counters.add(f"queries_{ending}")
+        if reason is not None:
+            self.counters.add(f"given_up_{open_query.request.class_name.decode()}_{reason.value}")
+        self._close_query(number, open_query, ending, reason)
         try:
-            give(item.reply)
-        except Exception as problem:  # ends that session alone
-            self.log("answer_error", error=repr(problem))
+            send(open_query.reply)
+        except Exception as error:  # concerns only this client's session
+            self.log("answer_error", error=repr(error))
 
-    def _close(self, number: int, item: OpenQuery, kind: str, why: api.GiveUpReason | None = None) -> None:
-        item.answered = True
+    def _close_query(
+        self, number: int, open_query: OpenQuery, ending: str, reason: api.GiveUpReason | None = None
+    ) -> None:
+        open_query.answered = True
         self.unanswered_count -= 1
-        if item.overdue is not None and item.overdue.active():
-            item.overdue.cancel()
+        if open_query.overdue_timer is not None and open_query.overdue_timer.active():
+            open_query.overdue_timer.cancel()
         now = self.now()
         self.log(
             "query",
-            id=item.asked.id.decode(),
-            end=kind,
-            query_class=item.asked.class_name.decode(),
-            s=round(now - item.arrived, 4),
-            left=round(item.deadline - now, 3),
-            attempts=len(item.attempts),
-            **({"why": why.value} if why is not None else {}),
+            id=open_query.request.id.decode(),
+            end=ending,
+            query_class=open_query.request.class_name.decode(),
+            s=round(now - open_query.arrived_at, 4),
+            left=round(open_query.deadline - now, 3),
+            attempts=len(open_query.attempts),
+            **({"why": reason.value} if reason is not None else {}),
         )
-        self._forget(number, item)
+        self._remove_if_finished(number, open_query)
 
-    def _forget(self, number: int, item: OpenQuery) -> None:
-        """The id is taken as long as an attempt with it may be out: engines tell queries apart by it."""
-        if item.answered and item.out == 0 and self.queries.pop(number, None) is not None:
-            self._ids.discard(item.asked.id)
+    def _remove_if_finished(self, number: int, open_query: OpenQuery) -> None:
+        """Remove a query that is answered and has no attempt in flight.
+
+        Until then its id stays reserved, because engines identify queries by id.
+        """
+        if (
+            open_query.answered
+            and open_query.in_flight == 0
+            and self.open_queries.pop(number, None) is not None
+        ):
+            self._open_ids.discard(open_query.request.id)
 
     def fail_open_queries(self, text: str) -> None:
-        """End every open query at once, as failed, which promises nothing of what may have run."""
-        for number, item in list(self.queries.items()):
-            if not item.answered:
+        """Fail every open query with ``text`` and cancel all attempts.
+
+        The answer is "failed" rather than "refused", since attempts may already have run.
+        """
+        for number, open_query in list(self.open_queries.items()):
+            if not open_query.answered:
                 self._answer(number, "failed", lambda reply: reply.fail(text))
-                self._happened(api.QueryDropped(number))
-            for attempt in item.attempts:
+                self._queue_event(api.QueryDropped(number))
+            for attempt in open_query.attempts:
                 attempt.abort(api.Outcome.CANCELLED)
--- a/tests/test_exchange.py
+++ b/tests/test_exchange.py
@@ -167,7 +167,7 @@
     assert (event.query, event.attempt, event.engine, event.outcome) == (ticket, 0, "a", api.Outcome.OK)
     assert event.query_settled
     assert event.report == api.LoadReport(in_flight=7.0, busy_share=0.5)
-    assert not world.exchange.queries
+    assert not world.exchange.open_queries
 
 
 @pytest.mark.parametrize(("refusal", "kind"), [(True, "refused"), (False, "failed")])
@@ -224,7 +224,7 @@
     world.links[0].up().say(answer(200, PAGE, X_Sheets="1"))
     world.turn()
     assert not client.answers
-    assert not world.exchange.queries
+    assert not world.exchange.open_queries
 
 
 def test_a_cancel_gives_the_attempt_up() -> None:
@@ -411,8 +411,8 @@
     for _ in range(100):
         world.turn(0.1)
     assert len(world.directory) == 2
-    assert not world.exchange.queries and not world.exchange._ids
-    assert set(world.exchange._entries) == {"a", "b"}
+    assert not world.exchange.open_queries and not world.exchange._open_ids
+    assert set(world.exchange._engine_entries) == {"a", "b"}
     assert not world.pools._idle and not world.pools._established and not world.pools.waiting_calls
     assert world.pools.open_connections == 0
 
