--- a/micahold/counters.py
+++ b/micahold/counters.py
@@ -1,4 +1,4 @@
-"""Counters of what is taken in, sent and answered: names to whole numbers, nothing more."""
+"""Named integer counters for queries, attempts, connections and events."""
 
 from __future__ import annotations
 
@@ -6,18 +6,20 @@
 
 
 class Counters:
-    """Sums and high-water marks by name."""
+    """Sums and high-water marks by counter name."""
 
     def __init__(self) -> None:
         self.values: defaultdict[str, int] = defaultdict(int)
 
-    def add(self, name: str, number: int = 1) -> None:
-        self.values[name] += number
+    def add(self, name: str, count: int = 1) -> None:
+        """Increase the counter ``name`` by ``count``."""
+        self.values[name] += count
 
-    def record_max(self, name: str, number: int) -> None:
-        """Keep the highest figure seen, under ``most_`` and the name."""
-        if number > self.values["most_" + name]:
-            self.values["most_" + name] = number
+    def record_max(self, name: str, value: int) -> None:
+        """Set the counter ``most_`` + ``name`` to ``value`` if it is lower than that."""
+        if value > self.values["most_" + name]:
+            self.values["most_" + name] = value
 
     def snapshot(self) -> dict[str, int]:
+        """Return a copy of all counters, sorted by name."""
         return dict(sorted(self.values.items()))
