--- a/micahold/benchlink/__init__.py
+++ b/micahold/benchlink/__init__.py
@@ -1,1 +1,1 @@
-"""The decisions on the simulator's wire: codec, instance host, entry point."""
+"""Runs controllers behind the simulator's line protocol: message codec, controller host and entry point."""
--- a/micahold/benchlink/__main__.py
+++ b/micahold/benchlink/__main__.py
@@ -1,4 +1,4 @@
-"""Reads batches from standard input and writes one reply a line until the input ends."""
+"""Reads one JSON batch per line from standard input and writes one JSON reply per line to standard output."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def main() -> int:
-    """0 at the end of input, 1 after a line that is no legal batch."""
+    """Answer batches until the input ends and return 0, or stop at an invalid batch and return 1."""
     host = ControllerHost()
     for number, line in enumerate(sys.stdin.buffer, start=1):
         if not line.strip():
@@ -18,7 +18,7 @@
         try:
             reply = host.handle_batch(json.loads(line))
         except (ValueError, RecursionError, FormatError) as error:
-            write_error(f"line {number} is not a legal batch: {error}")
+            write_error(f"line {number} is not a valid batch: {error}")
             return 1
         sys.stdout.write(json.dumps(reply, separators=(",", ":")) + "\n")
         sys.stdout.flush()
--- a/micahold/benchlink/codec.py
+++ b/micahold/benchlink/codec.py
@@ -1,6 +1,6 @@
-"""The simulator's wire: plain JSON objects to settings and events, actions to JSON objects.
+"""Decodes the simulator's JSON objects into events and engine lists, and encodes actions as JSON objects.
 
-Only translation. Unknown keys are ignored; a value of the wrong shape raises ``FormatError``.
+Unknown keys are ignored; a value of the wrong type raises ``FormatError``.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 from micahold import interface as api
 from micahold.settings import NS_PER_S, FormatError, JsonObject, decode_report, look_up, seconds_from_ns
 
-BILL_WORK_FACTOR = 4096  # a bill is milliseconds of work times this, plus memory steps
+BILL_WORK_FACTOR = 4096  # bill = work in ms * BILL_WORK_FACTOR + memory in MB / BILL_MEMORY_STEP_MB
 BILL_MEMORY_STEP_MB = 4
 
 ENGINE_STATES = {
@@ -38,132 +38,134 @@
 
 
 def ns_from_seconds(value: float) -> int:
-    """Seconds as whole nanoseconds of the wire."""
+    """Convert seconds to whole nanoseconds, the unit of the simulator's protocol."""
     return round(value * NS_PER_S)
 
 
-def decode_engine_entry(item: JsonObject) -> api.EngineEntry:
-    """One line of a numbered list."""
+def decode_engine_entry(entry: JsonObject) -> api.EngineEntry:
+    """Decode one entry of a numbered engine list."""
     try:
         return api.EngineEntry(
-            engine=str(item["engine"]),
-            state=look_up(ENGINE_STATES, item.get("condition"), "condition"),
-            zone=int(item.get("failure_domain", 0)),
-            kind=int(item.get("hw", 0)),
-            cell=int(item.get("unit_group", 0)),
-            started_at=seconds_from_ns(item.get("came_up_ns")),
-            weight=float(item.get("share", 1.0)),
+            engine=str(entry["engine"]),
+            state=look_up(ENGINE_STATES, entry.get("condition"), "condition"),
+            zone=int(entry.get("failure_domain", 0)),
+            kind=int(entry.get("hw", 0)),
+            cell=int(entry.get("unit_group", 0)),
+            started_at=seconds_from_ns(entry.get("came_up_ns")),
+            weight=float(entry.get("share", 1.0)),
         )
     except KeyError as error:
-        raise FormatError(f"list entry without {error}") from None
+        raise FormatError(f"list entry is missing key {error}") from None
     except (AttributeError, TypeError, ValueError) as error:
-        raise FormatError(f"bad list entry: {error}") from None
+        raise FormatError(f"invalid list entry: {error}") from None
 
 
-def _query(item: JsonObject) -> api.QueryArrived:
-    cost = item.get("est_cost_ns")
+def _decode_query(message: JsonObject) -> api.QueryArrived:
+    cost = message.get("est_cost_ns")
     return api.QueryArrived(
-        query=int(item["txn"]),
-        class_index=int(item.get("qos") or 0),
-        tenant_index=int(item.get("party") or 0),
-        deadline=seconds_from_ns(item["deadline_ns"]),
-        ordering_key=item.get("relation"),
+        query=int(message["txn"]),
+        class_index=int(message.get("qos") or 0),
+        tenant_index=int(message.get("party") or 0),
+        deadline=seconds_from_ns(message["deadline_ns"]),
+        ordering_key=message.get("relation"),
         estimated_cost_s=seconds_from_ns(cost) if cost else None,
-        estimated_memory_mb=float(item["mem_mb"]) if item.get("mem_mb") else None,
-        table_group=int(item.get("dataset") or 0),
-        is_client_retry=bool(item.get("repeat", False)),
-        is_write=bool(item.get("is_write", False)),
+        estimated_memory_mb=float(message["mem_mb"]) if message.get("mem_mb") else None,
+        table_group=int(message.get("dataset") or 0),
+        is_client_retry=bool(message.get("repeat", False)),
+        is_write=bool(message.get("is_write", False)),
     )
 
 
-def _streaming(item: JsonObject) -> api.AttemptStreaming:
+def _decode_streaming(message: JsonObject) -> api.AttemptStreaming:
     return api.AttemptStreaming(
-        int(item["txn"]),
-        int(item.get("try") or 0),
-        str(item["engine"]),
-        seconds_from_ns(item.get("cost_time_ns")),
+        int(message["txn"]),
+        int(message.get("try") or 0),
+        str(message["engine"]),
+        seconds_from_ns(message.get("cost_time_ns")),
     )
 
 
-def _note(item: JsonObject) -> api.AttemptStatus | None:
-    kind = int(item["kind"])
+def _decode_status(message: JsonObject) -> api.AttemptStatus | None:
+    kind = int(message["kind"])
     if kind not in (1, 2, 3):
         return None
     return api.AttemptStatus(
-        query=int(item["txn"]),
-        attempt=int(item.get("try") or 0),
-        engine=str(item["engine"]),
+        query=int(message["txn"]),
+        attempt=int(message.get("try") or 0),
+        engine=str(message["engine"]),
         kind=api.AttemptStatusKind(kind),
-        value=float(item.get("level") or 0.0),
+        value=float(message.get("level") or 0.0),
     )
 
 
-def _ended(item: JsonObject) -> api.AttemptEnded:
-    bill = int(item.get("bill") or 0)
+def _decode_attempt_end(message: JsonObject) -> api.AttemptEnded:
+    bill = int(message.get("bill") or 0)
     return api.AttemptEnded(
-        query=int(item["txn"]),
-        attempt=int(item.get("try") or 0),
-        engine=str(item["engine"]),
-        outcome=look_up(OUTCOMES, item.get("result"), "result"),
-        elapsed_s=seconds_from_ns(item.get("cost_time_ns")),
-        query_settled=bool(item.get("settled", False)),
+        query=int(message["txn"]),
+        attempt=int(message.get("try") or 0),
+        engine=str(message["engine"]),
+        outcome=look_up(OUTCOMES, message.get("result"), "result"),
+        elapsed_s=seconds_from_ns(message.get("cost_time_ns")),
+        query_settled=bool(message.get("settled", False)),
         work_s=bill // BILL_WORK_FACTOR / 1000,
         memory_mb=float(bill % BILL_WORK_FACTOR * BILL_MEMORY_STEP_MB),
-        report=decode_report(item.get("health_info")),
+        report=decode_report(message.get("health_info")),
     )
 
 
-def _probe_ended(item: JsonObject) -> api.ProbeEnded:
+def _decode_probe_end(message: JsonObject) -> api.ProbeEnded:
     return api.ProbeEnded(
-        engine=str(item["engine"]),
-        outcome=look_up(OUTCOMES, item.get("result"), "result"),
-        elapsed_s=seconds_from_ns(item.get("cost_time_ns")),
-        report=decode_report(item.get("health_info")),
+        engine=str(message["engine"]),
+        outcome=look_up(OUTCOMES, message.get("result"), "result"),
+        elapsed_s=seconds_from_ns(message.get("cost_time_ns")),
+        report=decode_report(message.get("health_info")),
     )
 
 
-def _peer_message(item: JsonObject) -> api.PeerMessage:
-    return api.PeerMessage(int(item.get("origin_peer") or 0), bytes.fromhex(item.get("msg") or ""))
+def _decode_peer_message(message: JsonObject) -> api.PeerMessage:
+    return api.PeerMessage(int(message.get("origin_peer") or 0), bytes.fromhex(message.get("msg") or ""))
 
 
 DECODERS: dict[str, Callable[[JsonObject], api.Event | None]] = {
-    "call": _query,
-    "flowing": _streaming,
-    "heartbeat": _note,
-    "answer": _ended,
-    "dropped": lambda item: api.QueryDropped(int(item["txn"])),
-    "reminder": lambda item: api.TimerFired(int(item.get("cookie") or 0)),
-    "ping_result": _probe_ended,
-    "whisper": _peer_message,
+    "call": _decode_query,
+    "flowing": _decode_streaming,
+    "heartbeat": _decode_status,
+    "answer": _decode_attempt_end,
+    "dropped": lambda message: api.QueryDropped(int(message["txn"])),
+    "reminder": lambda message: api.TimerFired(int(message.get("cookie") or 0)),
+    "ping_result": _decode_probe_end,
+    "whisper": _decode_peer_message,
 }
 
 
-def decode_event(item: JsonObject) -> api.Event | None:
-    """One event that needs no list; None for a note of a kind not known."""
-    what = item.get("what")
-    if not isinstance(what, str) or what not in DECODERS:
-        raise FormatError(f"unknown event kind {what!r}")
+def decode_event(message: JsonObject) -> api.Event | None:
+    """Decode an event other than a list update; None for an attempt status of unknown kind."""
+    event_kind = message.get("what")
+    if not isinstance(event_kind, str) or event_kind not in DECODERS:
+        raise FormatError(f"unknown event kind {event_kind!r}")
     try:
-        return DECODERS[what](item)
+        return DECODERS[event_kind](message)
     except FormatError:
         raise
     except KeyError as error:
-        raise FormatError(f"event {what!r} without {error}") from None
+        raise FormatError(f"event {event_kind!r} is missing key {error}") from None
     except (AttributeError, TypeError, ValueError) as error:
-        raise FormatError(f"bad event {what!r}: {error}") from None
+        raise FormatError(f"invalid event {event_kind!r}: {error}") from None
 
 
-def decode_list_update(item: JsonObject, lists: Mapping[int, tuple[api.EngineEntry, ...]]) -> api.ListUpdate:
-    """News of the engine list, with its entries looked up by number."""
-    kind = look_up(LIST_KINDS, item.get("how"), "kind of list update")
+def decode_list_update(
+    message: JsonObject, lists: Mapping[int, tuple[api.EngineEntry, ...]]
+) -> api.ListUpdate:
+    """Decode an update of the engine list, whose entries are looked up in ``lists`` by number."""
+    kind = look_up(LIST_KINDS, message.get("how"), "kind of list update")
     entries: tuple[api.EngineEntry, ...] = ()
     if kind is not api.ListKind.UNAVAILABLE:
-        entries = look_up(lists, item.get("table", 0), "list number")
-    return api.ListUpdate(kind, int(item.get("revision") or 0), entries)
+        entries = look_up(lists, message.get("table", 0), "list number")
+    return api.ListUpdate(kind, int(message.get("revision") or 0), entries)
 
 
 def encode_action(action: api.Action) -> dict[str, Any]:
-    """One action as the wire's object."""
+    """Encode one action as an object of the simulator's protocol."""
     match action:
         case api.Send(query, engine, expires):
             return {"what": "relay", "txn": query, "expire_at_ns": ns_from_seconds(expires), "engine": engine}
--- a/micahold/benchlink/host.py
+++ b/micahold/benchlink/host.py
@@ -1,4 +1,4 @@
-"""Many controllers in one process, nothing shared between them; one batch in, one reply out."""
+"""Runs many independent controllers in one process and answers the simulator's batches."""
 
 from __future__ import annotations
 
@@ -12,107 +12,118 @@
 
 
 def write_error(text: str) -> None:
-    """One line on standard error; standard output is the wire's alone."""
+    """Write one line to standard error; standard output is reserved for replies."""
     print(f"micahold: {text}", file=sys.stderr, flush=True)
 
 
 class ControllerHost:
-    """The instances of this process and the numbered lists that the wire hands to all of them."""
+    """The controllers of this process, by instance name, and the numbered engine lists that they all use."""
 
     def __init__(self) -> None:
         self.controllers: dict[str, Controller] = {}
-        self.lists: dict[int, tuple[api.EngineEntry, ...]] = {}
-        self.named: dict[
-            str, tuple[set[int], set[str]]
-        ] = {}  # requests and engines each instance was told of
+        self.engine_lists: dict[int, tuple[api.EngineEntry, ...]] = {}
+        # For each instance, the query numbers and engine names that it has been told of.
+        self.known_names: dict[str, tuple[set[int], set[str]]] = {}
 
     def handle_batch(self, batch: Any) -> dict[str, Any]:
-        """The reply to one batch; ``FormatError`` when it is not one."""
+        """Return the reply to one batch; raise ``FormatError`` if it is malformed.
+
+        A malformed event within a batch is reported on standard error and skipped.
+        """
         if not isinstance(batch, dict) or not isinstance(batch.get("ts_ns"), int):
-            raise FormatError("a batch is an object with an integer 'ts_ns'")
+            raise FormatError("a batch must be an object with an integer 'ts_ns'")
         groups = batch.get("groups")
         if not isinstance(groups, list):
-            raise FormatError("a batch has an array 'groups'")
+            raise FormatError("a batch must have an array 'groups'")
         now = seconds_from_ns(batch["ts_ns"])
         replies = []
         for group in groups:
             if not isinstance(group, dict) or not isinstance(group.get("who"), str):
-                raise FormatError("a group is an object with a text 'who'")
+                raise FormatError("a group must be an object with a string 'who'")
             if not isinstance(group.get("news"), list):
                 raise FormatError(f"group {group['who']!r} has no array 'news'")
-            out = self._serve(group["who"], now, group["news"])
-            if out:
-                replies.append({"who": group["who"], "out": out})
+            actions = self._handle_group(group["who"], now, group["news"])
+            if actions:
+                replies.append({"who": group["who"], "out": actions})
         return {"groups": replies}
 
-    def _serve(self, who: str, now: float, news: list[Any]) -> list[dict[str, Any]]:
-        out: list[dict[str, Any]] = []
+    def _handle_group(self, instance: str, now: float, messages: list[Any]) -> list[dict[str, Any]]:
+        actions: list[dict[str, Any]] = []
         events: list[api.Event] = []
-        self.named.setdefault(who, (set(), set()))
-        for item in news:
-            if not isinstance(item, dict):
-                raise FormatError(f"an event of {who!r} is not an object")
-            what = item.get("what")
+        self.known_names.setdefault(instance, (set(), set()))
+        for message in messages:
+            if not isinstance(message, dict):
+                raise FormatError(f"an event of {instance!r} is not an object")
+            message_kind = message.get("what")
             try:
-                if what == "launch":
-                    self._decide(who, now, events, out)
+                if message_kind == "launch":
+                    self._run_controller(instance, now, events, actions)
                     events = []
-                    self._launch(who, item, out)
-                elif what == "stop":
-                    self._decide(who, now, events, out)
+                    self._launch_controller(instance, message, actions)
+                elif message_kind == "stop":
+                    self._run_controller(instance, now, events, actions)
                     events = []
-                    self.controllers.pop(who, None)
-                elif what == "sheet":
-                    lines = tuple(codec.decode_engine_entry(line) for line in item.get("members_list") or [])
-                    self.lists[item.get("table", 0)] = lines
-                elif what == "update":
-                    update = codec.decode_list_update(item, self.lists)
-                    self.named[who][1].update(line.engine for line in update.entries)
+                    self.controllers.pop(instance, None)
+                elif message_kind == "sheet":
+                    entries = tuple(
+                        codec.decode_engine_entry(entry) for entry in message.get("members_list") or []
+                    )
+                    self.engine_lists[message.get("table", 0)] = entries
+                elif message_kind == "update":
+                    update = codec.decode_list_update(message, self.engine_lists)
+                    self.known_names[instance][1].update(entry.engine for entry in update.entries)
                     events.append(update)
                 else:
-                    event = codec.decode_event(item)
+                    event = codec.decode_event(message)
                     if event is not None:
-                        self._check_names(who, event)
+                        self._report_unknown_names(instance, event)
                         events.append(event)
             except FormatError as error:
-                write_error(f"{who}: {error}")
-        self._decide(who, now, events, out)
-        return out
+                write_error(f"{instance}: {error}")
+        self._run_controller(instance, now, events, actions)
+        return actions
+
+    def _report_unknown_names(self, instance: str, event: api.Event) -> None:
+        """Record the queries of an instance, and report attempt events that name an unknown query or engine.
 
-    def _check_names(self, who: str, event: api.Event) -> None:
-        """Tell of an outcome or note for a request or engine never named; the decisions ignore it."""
-        requests, engines = self.named[who]
+        The events are still passed on; the controller ignores them.
+        """
+        queries, engines = self.known_names[instance]
         if isinstance(event, api.QueryArrived):
-            requests.add(event.query)
+            queries.add(event.query)
         elif isinstance(event, api.AttemptEnded | api.AttemptStatus | api.AttemptStreaming):
-            if event.query not in requests:
-                write_error(f"{who}: unknown request {event.query}")
+            if event.query not in queries:
+                write_error(f"{instance}: unknown request {event.query}")
             elif event.engine not in engines:
-                write_error(f"{who}: unknown engine {event.engine!r}")
+                write_error(f"{instance}: unknown engine {event.engine!r}")
 
-    def _launch(self, who: str, item: dict[str, Any], out: list[dict[str, Any]]) -> None:
-        self.controllers.pop(who, None)
-        self.named[who] = (set(), set())
-        settings = decode_settings(item.get("env") or {})
+    def _launch_controller(
+        self, instance: str, message: dict[str, Any], actions: list[dict[str, Any]]
+    ) -> None:
+        self.controllers.pop(instance, None)
+        self.known_names[instance] = (set(), set())
+        settings = decode_settings(message.get("env") or {})
         try:
-            self.controllers[who] = Controller(settings, int(item.get("salt") or 0))
-        except Exception as error:  # any error of the decisions is the wire's fault message, never hidden
-            self._fault(who, error, out)
+            self.controllers[instance] = Controller(settings, int(message.get("salt") or 0))
+        except Exception as error:  # the protocol reports any controller exception as a fatal message
+            self._report_fault(instance, error, actions)
 
-    def _decide(self, who: str, now: float, events: list[api.Event], out: list[dict[str, Any]]) -> None:
+    def _run_controller(
+        self, instance: str, now: float, events: list[api.Event], actions: list[dict[str, Any]]
+    ) -> None:
         if not events:
             return
-        controller = self.controllers.get(who)
+        controller = self.controllers.get(instance)
         if controller is None:
-            write_error(f"{who}: events for an instance that is not running")
+            write_error(f"{instance}: events for an instance that is not running")
             return
         try:
-            out.extend(codec.encode_action(action) for action in controller.handle(now, events))
-        except Exception as error:  # as above
-            self._fault(who, error, out)
+            actions.extend(codec.encode_action(action) for action in controller.handle(now, events))
+        except Exception as error:  # reported as a fatal message, as in _launch_controller
+            self._report_fault(instance, error, actions)
 
-    def _fault(self, who: str, error: Exception, out: list[dict[str, Any]]) -> None:
-        self.controllers.pop(who, None)
+    def _report_fault(self, instance: str, error: Exception, actions: list[dict[str, Any]]) -> None:
+        self.controllers.pop(instance, None)
         text = f"{type(error).__name__}: {error}"
-        write_error(f"{who}: fault in the decisions: {text}")
-        out.append({"what": "fatal", "line": text})
+        write_error(f"{instance}: controller fault: {text}")
+        actions.append({"what": "fatal", "line": text})
