--- a/micahold/benchlink/__main__.py
+++ b/micahold/benchlink/__main__.py
@@ -10,7 +10,7 @@
 
 
 def main() -> int:
-    """Answer batches until the input ends and return 0, or stop at an invalid batch and return 1."""
+    """Answers batches until the input ends and returns 0, or stops at an invalid batch and returns 1."""
     host = ControllerHost()
     for number, line in enumerate(sys.stdin.buffer, start=1):
         if not line.strip():
--- a/micahold/benchlink/codec.py
+++ b/micahold/benchlink/codec.py
@@ -38,12 +38,12 @@
 
 
 def ns_from_seconds(value: float) -> int:
-    """Convert seconds to whole nanoseconds, the unit of the simulator's protocol."""
+    """Converts seconds to whole nanoseconds, the unit of the simulator's protocol."""
     return round(value * NS_PER_S)
 
 
 def decode_engine_entry(entry: JsonObject) -> api.EngineEntry:
-    """Decode one entry of a numbered engine list."""
+    """Decodes one entry of a numbered engine list."""
     try:
         return api.EngineEntry(
             engine=str(entry["engine"]),
@@ -139,7 +139,7 @@
 
 
 def decode_event(message: JsonObject) -> api.Event | None:
-    """Decode an event other than a list update; None for an attempt status of unknown kind."""
+    """Decodes an event other than a list update; None for an attempt status of unknown kind."""
     event_kind = message.get("what")
     if not isinstance(event_kind, str) or event_kind not in DECODERS:
         raise FormatError(f"unknown event kind {event_kind!r}")
@@ -156,7 +156,7 @@
 def decode_list_update(
     message: JsonObject, lists: Mapping[int, tuple[api.EngineEntry, ...]]
 ) -> api.ListUpdate:
-    """Decode an update of the engine list, whose entries are looked up in ``lists`` by number."""
+    """Decodes an update of the engine list, whose entries are looked up in ``lists`` by number."""
     kind = look_up(LIST_KINDS, message.get("how"), "kind of list update")
     entries: tuple[api.EngineEntry, ...] = ()
     if kind is not api.ListKind.UNAVAILABLE:
@@ -165,7 +165,7 @@
 
 
 def encode_action(action: api.Action) -> dict[str, Any]:
-    """Encode one action as an object of the simulator's protocol."""
+    """Encodes one action as an object of the simulator's protocol."""
     match action:
         case api.Send(query, engine, expires):
             return {"what": "relay", "txn": query, "expire_at_ns": ns_from_seconds(expires), "engine": engine}
--- a/micahold/benchlink/host.py
+++ b/micahold/benchlink/host.py
@@ -12,7 +12,7 @@
 
 
 def write_error(text: str) -> None:
-    """Write one line to standard error; standard output is reserved for replies."""
+    """Writes one line to standard error; standard output is reserved for replies."""
     print(f"micahold: {text}", file=sys.stderr, flush=True)
 
 
@@ -26,7 +26,7 @@
         self.known_names: dict[str, tuple[set[int], set[str]]] = {}
 
     def handle_batch(self, batch: Any) -> dict[str, Any]:
-        """Return the reply to one batch; raise ``FormatError`` if it is malformed.
+        """Returns the reply to one batch; raises ``FormatError`` if it is malformed.
 
         A malformed event within a batch is reported on standard error and skipped.
         """
@@ -84,7 +84,7 @@
         return actions
 
     def _report_unknown_names(self, instance: str, event: api.Event) -> None:
-        """Record the queries of an instance, and report attempt events that name an unknown query or engine.
+        """Records the queries of an instance; reports attempt events that name an unknown query or engine.
 
         The events are still passed on; the controller ignores them.
         """
--- a/micahold/counters.py
+++ b/micahold/counters.py
@@ -12,14 +12,14 @@
         self.values: defaultdict[str, int] = defaultdict(int)
 
     def add(self, name: str, count: int = 1) -> None:
-        """Increase the counter ``name`` by ``count``."""
+        """Increases the counter ``name`` by ``count``."""
         self.values[name] += count
 
     def record_max(self, name: str, value: int) -> None:
-        """Set the counter ``most_`` + ``name`` to ``value`` if it is lower than that."""
+        """Sets the counter ``most_`` + ``name`` to ``value`` if it is lower than that."""
         if value > self.values["most_" + name]:
             self.values["most_" + name] = value
 
     def snapshot(self) -> dict[str, int]:
-        """Return a copy of all counters, sorted by name."""
+        """Returns a copy of all counters, sorted by name."""
         return dict(sorted(self.values.items()))
--- a/micahold/routing/__init__.py
+++ b/micahold/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Connects client sessions, engine connections and the controller; no other package depends on all three."""
+"""Connects client sessions and engine connections through the controller; they meet nowhere else."""
--- a/micahold/routing/exchange.py
+++ b/micahold/routing/exchange.py
@@ -31,7 +31,7 @@
     """The part of the controller that the exchange calls."""
 
     def handle(self, now: float, events: list[api.Event]) -> list[api.Action]:
-        """Process one batch of events and return the actions to execute, in order."""
+        """Processes one batch of events and returns the actions to execute, in order."""
         ...
 
 
@@ -102,7 +102,7 @@
     # Events
 
     def post_event(self, event: api.Event) -> None:
-        """Queue an event from another subsystem for the controller."""
+        """Queues an event from another subsystem for the controller."""
         self._queue_event(event)
 
     def _queue_event(self, event: api.Event) -> None:
@@ -114,7 +114,7 @@
             self._call_at_iteration_end(self._flush)
 
     def submit(self, query: ClientQuery, reply: QueryReply, waited: float = 0.0) -> int:
-        """Register a client's query and return its number, which ``drop`` takes.
+        """Registers a client's query and returns its number, which ``drop`` takes.
 
         ``waited`` is how many seconds the query may have lain unread; they count towards its wait.
         Raises ``UnusableQueryError`` for a query that can't be accepted, before the controller or an engine
@@ -165,7 +165,7 @@
         return number
 
     def begin_shutdown(self, timeout_s: float) -> None:
-        """Limit the deadlines of open and later queries to ``timeout_s`` from now and notify the controller.
+        """Limits deadlines of open and later queries to ``timeout_s`` from now, and notifies the controller.
 
         This lets the controller refuse early what will not be served. Otherwise queries stay open until they
         are failed at exit, which is too late for their clients to try another gateway.
@@ -179,7 +179,7 @@
         self._queue_event(api.GatewayClosing(self._answer_by))
 
     def drop(self, ticket: int) -> None:
-        """Close the query numbered ``ticket`` without an answer, because its client has disconnected."""
+        """Closes the query numbered ``ticket`` without an answer, because its client has disconnected."""
         open_query = self.open_queries.get(ticket)
         if open_query is None or open_query.answered:
             return
@@ -188,7 +188,7 @@
         self._queue_event(api.QueryDropped(ticket))
 
     def apply_list_update(self, news: ListNews) -> None:
-        """Apply an update of the engine list to the directory, the pools and the controller.
+        """Applies an update of the engine list to the directory, the pools and the controller.
 
         The directory goes first, because calls look up an engine's address at the time they are written.
         """
@@ -254,7 +254,7 @@
     # Actions
 
     def _flush(self) -> None:
-        """Pass the queued events to the controller and execute its actions.
+        """Passes the queued events to the controller and executes its actions.
 
         An exception in the controller is logged, and every open query is still answered.
         """
@@ -276,7 +276,7 @@
                 self.counters.add("action_errors")
 
     def _replace_controller(self, error: Exception) -> None:
-        """Fail all open queries, which a new controller has no state for, and start a new controller."""
+        """Fails all open queries, which a new controller has no state for, and starts a new controller."""
         self.log("decisions_fault", error=f"{type(error).__name__}: {error}")
         self.counters.add("decisions_faults")
         self.fail_open_queries("internal error")
@@ -362,7 +362,7 @@
         send: Callable[[QueryReply], None],
         reason: api.GiveUpReason | None = None,
     ) -> None:
-        """Give a query its one final answer through ``send``; does nothing if it already has one.
+        """Gives a query its one final answer through ``send``; does nothing if it already has one.
 
         ``ending`` is the suffix of the counter; ``reason`` is set where the controller gave the query up.
         """
@@ -399,7 +399,7 @@
         self._remove_if_finished(number, open_query)
 
     def _remove_if_finished(self, number: int, open_query: OpenQuery) -> None:
-        """Remove a query that is answered and has no attempt in flight.
+        """Removes a query that is answered and has no attempt in flight.
 
         Until then its id stays reserved, because engines identify queries by id.
         """
@@ -411,7 +411,7 @@
             self._open_ids.discard(open_query.request.id)
 
     def fail_open_queries(self, text: str) -> None:
-        """Fail every open query with ``text`` and cancel all attempts.
+        """Fails every open query with ``text`` and cancels all attempts.
 
         The answer is "failed" rather than "refused", since attempts may already have run.
         """
--- a/micahold/settings.py
+++ b/micahold/settings.py
@@ -29,12 +29,12 @@
 
 
 def seconds_from_ns(value: Any) -> float:
-    """Convert nanoseconds to seconds; a missing value counts as 0."""
+    """Converts nanoseconds to seconds; a missing value counts as 0."""
     return float(value or 0) / NS_PER_S
 
 
 def look_up(table: Mapping[Any, Any], key: Any, description: str) -> Any:
-    """Return ``table[key]``; raise ``FormatError`` if there is no such key, or it is unhashable."""
+    """Returns ``table[key]``; raises ``FormatError`` if there is no such key, or it is unhashable."""
     try:
         return table[key]
     except (KeyError, TypeError):
@@ -112,7 +112,7 @@
 
 
 def decode_settings(env: JsonObject) -> api.Settings:
-    """Decode the settings of a gateway.
+    """Decodes the settings of a gateway.
 
     ``env`` is the ``env`` of the simulator's launch event or the ``settings`` of the front's configuration.
     Raises ``FormatError`` for a value of the wrong type or an unknown effect or deduplication group.
@@ -183,7 +183,7 @@
 
 
 def decode_report(values: JsonObject | None) -> api.LoadReport | None:
-    """Decode a load report whose keys are the column names of the settings; None if it is empty or missing.
+    """Decodes a load report whose keys are the column names of the settings; None if it is empty or missing.
 
     The latency is converted from milliseconds to seconds.
     """
