--- a/tests/test_exchange.py
+++ b/tests/test_exchange.py
@@ -1,4 +1,4 @@
-"""The exchange between made clients, engines in memory and decisions that are told what to do."""
+"""Tests of the exchange with recording clients, in-memory engine connections and a scripted controller."""
 
 from __future__ import annotations
 
@@ -17,24 +17,25 @@
 SETTINGS = build.settings(report_columns=("rif", "busy"))
 
 
-class Decisions:
-    """Answers each batch with what the test wants, and keeps the batches."""
+class ScriptedController:
+    """Records each batch and answers it with ``next_actions``, or raises ``error`` if it is set."""
 
     def __init__(self) -> None:
         self.batches: list[list[api.Event]] = []
-        self.wanted: list[api.Action] = []
+        self.next_actions: list[api.Action] = []
         self.error: Exception | None = None
 
     def handle(self, now: float, events: list[api.Event]) -> list[api.Action]:
         self.batches.append(events)
         if self.error is not None:
             raise self.error
-        wanted, self.wanted = self.wanted, []
-        return wanted
+        actions = self.next_actions
+        self.next_actions = []
+        return actions
 
 
-class Client:
-    """One query's end: what it was answered."""
+class RecordingReply:
+    """Records the answers to one query."""
 
     def __init__(self) -> None:
         self.answers: list[tuple[str, Any]] = []
@@ -49,12 +50,12 @@
         self.answers.append(("failed", text))
 
 
-class World(EngineSide):
-    """An exchange with engines ``a`` and ``b`` listed."""
+class ExchangeHarness(EngineSide):
+    """An exchange whose engine list has ``a`` and ``b``."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.made: list[Decisions] = []
+        self.controllers: list[ScriptedController] = []
         self.logged: list[tuple[str, dict[str, Any]]] = []
         self.exchange = Exchange(
             SETTINGS,
@@ -65,8 +66,8 @@
             self.directory,
             self.counters,
             self.log,
-            self.at_turn_end,
-            self.decider,
+            self.call_at_iteration_end,
+            self.make_controller,
         )
         self.exchange.apply_list_update(news(a="up", b="up"))
         self.turn()
@@ -74,34 +75,37 @@
     def log(self, event: str, **fields: Any) -> None:
         self.logged.append((event, fields))
 
-    def at_turn_end(self, act: Callable[[], None]) -> None:
-        self.clock.callLater(0, act)
+    def call_at_iteration_end(self, function: Callable[[], None]) -> None:
+        self.clock.callLater(0, function)
 
-    def decider(self, settings: api.Settings, seed: int) -> Decisions:
-        self.made.append(Decisions())
-        return self.made[-1]
+    def make_controller(self, settings: api.Settings, seed: int) -> ScriptedController:
+        self.controllers.append(ScriptedController())
+        return self.controllers[-1]
 
     @property
-    def decisions(self) -> Decisions:
-        return self.made[-1]
+    def controller(self) -> ScriptedController:
+        return self.controllers[-1]
 
-    def want(self, *actions: api.Action) -> None:
-        """The answer to the next batch, which news that hold nothing bring about."""
-        self.decisions.wanted = list(actions)
+    def execute(self, *actions: api.Action) -> None:
+        """Makes the controller return the actions for a batch with an empty list update."""
+        self.controller.next_actions = list(actions)
         self.exchange.apply_list_update(news(2, full=False))
         self.turn()
 
-    def ask(self, number: int = 1, **changes: str) -> tuple[int, Client]:
-        client = Client()
-        ticket = self.exchange.submit(query(number, **changes), client)
+    def submit(self, number: int = 1, **changes: str) -> tuple[int, RecordingReply]:
+        """Submits a query; returns its ticket and its recorded answers."""
+        reply = RecordingReply()
+        ticket = self.exchange.submit(make_query(number, **changes), reply)
         self.turn()
-        return ticket, client
+        return ticket, reply
 
-    def last(self) -> api.Event:
-        return self.decisions.batches[-1][-1]
+    def last_event(self) -> api.Event:
+        """The last event that the controller has received."""
+        return self.controller.batches[-1][-1]
 
 
-def query(number: int = 1, **changes: str) -> ClientQuery:
+def make_query(number: int = 1, **changes: str) -> ClientQuery:
+    """A query with some of the usual fields changed; ``class_`` stands for class, an empty value omits a field."""
     fields = {
         "class": "lookup",
         "id": f"{number:016x}",
@@ -115,327 +119,334 @@
     return parse_query(f"/* {text} */ SELECT x FROM s_17.t".encode())
 
 
-def test_the_known_list_is_told_before_any_query() -> None:
-    world = World()
-    world.ask()
-    first, second = world.decisions.batches
-    assert isinstance(first[0], api.ListUpdate)
-    assert [entry.engine for entry in first[0].entries] == ["a", "b"]
-    assert second == [
+def test_controller_receives_the_engine_list_before_any_query() -> None:
+    harness = ExchangeHarness()
+    harness.submit()
+    first_batch, second_batch = harness.controller.batches
+    assert isinstance(first_batch[0], api.ListUpdate)
+    assert [entry.engine for entry in first_batch[0].entries] == ["a", "b"]
+    assert second_batch == [
         api.QueryArrived(1, 0, 1, 2.0, estimated_cost_s=0.82, estimated_memory_mb=96.0, table_group=17)
     ]
 
 
-def test_all_that_happens_in_a_turn_is_one_batch() -> None:
-    world = World()
+def test_events_of_one_reactor_iteration_form_one_batch() -> None:
+    harness = ExchangeHarness()
     for number in range(3):
-        world.exchange.submit(query(number), Client())
-    world.turn()
-    assert [len(batch) for batch in world.decisions.batches] == [1, 3]
+        harness.exchange.submit(make_query(number), RecordingReply())
+    harness.turn()
+    assert [len(batch) for batch in harness.controller.batches] == [1, 3]
 
 
 @pytest.mark.parametrize(
     "changes", [{"class_": "other"}, {"tenant": "other"}, {"tenant": ""}, {"wait": "0"}, {"class_": "load"}]
 )
-def test_what_cannot_be_taken_reaches_neither_decisions_nor_engines(changes: dict[str, str]) -> None:
-    world = World()
+def test_unusable_query_reaches_neither_the_controller_nor_an_engine(changes: dict[str, str]) -> None:
+    harness = ExchangeHarness()
     with pytest.raises(UnusableQueryError):
-        world.exchange.submit(query(1, **changes), Client())
-    world.turn()
-    assert len(world.decisions.batches) == 1
-    assert world.exchange.unanswered_count == 0
+        harness.exchange.submit(make_query(1, **changes), RecordingReply())
+    harness.turn()
+    assert len(harness.controller.batches) == 1
+    assert harness.exchange.unanswered_count == 0
 
 
-def test_an_id_that_is_open_already_cannot_be_taken_and_can_be_once_it_is_answered() -> None:
-    world = World()
-    ticket, _ = world.ask()
+def test_open_query_id_is_rejected_and_accepted_again_after_the_answer() -> None:
+    harness = ExchangeHarness()
+    ticket, _ = harness.submit()
     with pytest.raises(UnusableQueryError):
-        world.exchange.submit(query(), Client())
-    world.want(api.Fail(ticket))
-    world.exchange.submit(query(), Client())
-
-
-def test_a_good_answer_goes_to_the_client_and_settles_the_query() -> None:
-    world = World()
-    ticket, client = world.ask()
-    world.want(api.Send(ticket, "a"))
-    world.links[0].up().say(answer(200, PAGE, X_Sheets="1", Srv_Load="inflight:7;util:0.5"))
-    assert [kind for kind, _ in client.answers] == ["served"]
-    world.turn()
-    event = world.last()
+        harness.exchange.submit(make_query(), RecordingReply())
+    harness.execute(api.Fail(ticket))
+    harness.exchange.submit(make_query(), RecordingReply())
+
+
+def test_result_goes_to_the_client_and_settles_the_query() -> None:
+    harness = ExchangeHarness()
+    ticket, reply = harness.submit()
+    harness.execute(api.Send(ticket, "a"))
+    harness.links[0].up().say(answer(200, PAGE, X_Sheets="1", Srv_Load="inflight:7;util:0.5"))
+    assert [kind for kind, _ in reply.answers] == ["served"]
+    harness.turn()
+    event = harness.last_event()
     assert isinstance(event, api.AttemptEnded)
     assert (event.query, event.attempt, event.engine, event.outcome) == (ticket, 0, "a", api.Outcome.OK)
     assert event.query_settled
     assert event.report == api.LoadReport(in_flight=7.0, busy_share=0.5)
-    assert not world.exchange.open_queries
+    assert not harness.exchange.open_queries
 
 
 @pytest.mark.parametrize(("refusal", "kind"), [(True, "refused"), (False, "failed")])
-def test_a_final_answer_is_given_once(refusal: bool, kind: str) -> None:
-    world = World()
-    ticket, client = world.ask()
+def test_query_gets_only_one_final_answer(refusal: bool, kind: str) -> None:
+    harness = ExchangeHarness()
+    ticket, reply = harness.submit()
     final = api.Refuse(ticket, 0.5) if refusal else api.Fail(ticket)
-    world.want(final, api.Fail(ticket), api.Refuse(ticket))
-    assert [one for one, _ in client.answers] == [kind]
-    assert world.exchange.unanswered_count == 0
-
-
-def test_why_a_query_was_given_up_is_counted_by_class_and_logged() -> None:
-    """A class that was hardly served showed in no counter."""
-    world = World()
-    ticket, _ = world.ask()
-    world.want(api.Refuse(ticket, 0.5, api.GiveUpReason.ATTEMPTS_EXHAUSTED))
-    assert world.counters.snapshot()["given_up_lookup_tries"] == 1
-    assert [fields["why"] for event, fields in world.logged if event == "query"] == ["tries"]
-
-
-def test_an_answer_that_a_query_is_not_yet_over_is_a_sign_of_life() -> None:
-    """Good runs were called off as silent, though their engines had told of them all the time."""
-    world = World()
-    ticket, _ = world.ask()
-    world.want(api.Send(ticket, "a"))
-    world.links[0].up().say(answer(202))
-    world.turn()
-    assert world.last() == api.AttemptStatus(ticket, 0, "a", api.AttemptStatusKind.ALIVE)
-
-
-def test_an_error_is_told_and_the_query_stays_open() -> None:
-    world = World()
-    ticket, client = world.ask()
-    world.want(api.Send(ticket, "a"))
-    world.links[0].up().say(answer(500))
-    world.turn()
-    event = world.last()
+    harness.execute(final, api.Fail(ticket), api.Refuse(ticket))
+    assert [answered_kind for answered_kind, _ in reply.answers] == [kind]
+    assert harness.exchange.unanswered_count == 0
+
+
+def test_give_up_reason_is_counted_by_class_and_logged() -> None:
+    """Guards against a class that is hardly served without any counter showing it."""
+    harness = ExchangeHarness()
+    ticket, _ = harness.submit()
+    harness.execute(api.Refuse(ticket, 0.5, api.GiveUpReason.ATTEMPTS_EXHAUSTED))
+    assert harness.counters.snapshot()["given_up_lookup_tries"] == 1
+    assert [fields["why"] for event, fields in harness.logged if event == "query"] == ["tries"]
+
+
+def test_response_202_is_reported_as_attempt_alive() -> None:
+    """Guards against cancelling a running attempt as silent although its engine keeps answering."""
+    harness = ExchangeHarness()
+    ticket, _ = harness.submit()
+    harness.execute(api.Send(ticket, "a"))
+    harness.links[0].up().say(answer(202))
+    harness.turn()
+    assert harness.last_event() == api.AttemptStatus(ticket, 0, "a", api.AttemptStatusKind.ALIVE)
+
+
+def test_failed_attempt_is_reported_and_the_query_stays_open() -> None:
+    harness = ExchangeHarness()
+    ticket, reply = harness.submit()
+    harness.execute(api.Send(ticket, "a"))
+    harness.links[0].up().say(answer(500))
+    harness.turn()
+    event = harness.last_event()
     assert isinstance(event, api.AttemptEnded)
     assert (event.outcome, event.query_settled) == (api.Outcome.ERROR, False)
-    world.want(api.Send(ticket, "b"))
-    world.links[1].up().say(answer(200, PAGE, X_Sheets="1"))
-    assert [kind for kind, _ in client.answers] == ["served"]
-
-
-def test_a_client_that_leaves_is_told_and_its_late_answer_goes_nowhere() -> None:
-    world = World()
-    ticket, client = world.ask()
-    world.want(api.Send(ticket, "a"))
-    world.exchange.drop(ticket)
-    world.exchange.drop(ticket)
-    world.turn()
-    assert world.last() == api.QueryDropped(ticket)
-    world.links[0].up().say(answer(200, PAGE, X_Sheets="1"))
-    world.turn()
-    assert not client.answers
-    assert not world.exchange.open_queries
-
-
-def test_a_cancel_gives_the_attempt_up() -> None:
-    world = World()
-    ticket, _ = world.ask()
-    world.want(api.Send(ticket, "a"))
-    world.links[0].up()
-    world.want(api.Cancel(ticket, 0))
-    assert world.links[1].up().transport.sent().startswith(b"DELETE ")
-    world.links[1].say(answer(204))
-    world.turn()
-    event = world.last()
+    harness.execute(api.Send(ticket, "b"))
+    harness.links[1].up().say(answer(200, PAGE, X_Sheets="1"))
+    assert [kind for kind, _ in reply.answers] == ["served"]
+
+
+def test_dropped_query_is_reported_once_and_its_late_result_is_discarded() -> None:
+    harness = ExchangeHarness()
+    ticket, reply = harness.submit()
+    harness.execute(api.Send(ticket, "a"))
+    harness.exchange.drop(ticket)
+    harness.exchange.drop(ticket)
+    harness.turn()
+    assert harness.last_event() == api.QueryDropped(ticket)
+    harness.links[0].up().say(answer(200, PAGE, X_Sheets="1"))
+    harness.turn()
+    assert not reply.answers
+    assert not harness.exchange.open_queries
+
+
+def test_cancel_action_aborts_the_attempt() -> None:
+    harness = ExchangeHarness()
+    ticket, _ = harness.submit()
+    harness.execute(api.Send(ticket, "a"))
+    harness.links[0].up()
+    harness.execute(api.Cancel(ticket, 0))
+    assert harness.links[1].up().transport.sent().startswith(b"DELETE ")
+    harness.links[1].say(answer(204))
+    harness.turn()
+    event = harness.last_event()
     assert isinstance(event, api.AttemptEnded)
     assert event.outcome is api.Outcome.CANCELLED
 
 
-def test_an_attempt_never_outlasts_its_query() -> None:
-    world = World()
-    ticket, _ = world.ask()
-    world.want(api.Send(ticket, "a", 999.0))
-    assert b"Via-Wait: 2000\r\n" in world.links[0].up().transport.sent()
-    world.turn(2.0)
-    world.turn()
-    event = world.last()
+def test_attempt_expires_no_later_than_its_query() -> None:
+    harness = ExchangeHarness()
+    ticket, _ = harness.submit()
+    harness.execute(api.Send(ticket, "a", 999.0))
+    assert b"Via-Wait: 2000\r\n" in harness.links[0].up().transport.sent()
+    harness.turn(2.0)
+    harness.turn()
+    event = harness.last_event()
     assert isinstance(event, api.AttemptEnded)
     assert event.outcome is api.Outcome.TIMEOUT
 
 
-def test_attempts_beyond_the_limit_or_for_an_answered_query_are_moot() -> None:
-    world = World()
-    ticket, _ = world.ask()
+def test_attempt_beyond_max_attempts_is_not_started() -> None:
+    harness = ExchangeHarness()
+    ticket, _ = harness.submit()
     for _ in range(SETTINGS.limits.max_attempts):
-        world.want(api.Send(ticket, "a"))
-        world.links[-1].refuse()
-    world.turn()
-    made = len(world.links)
-    world.want(api.Send(ticket, "a"))
-    world.turn()
-    event = world.last()
+        harness.execute(api.Send(ticket, "a"))
+        harness.links[-1].refuse()
+    harness.turn()
+    link_count = len(harness.links)
+    harness.execute(api.Send(ticket, "a"))
+    harness.turn()
+    event = harness.last_event()
     assert isinstance(event, api.AttemptEnded)
     assert event.outcome is api.Outcome.NOT_STARTED
-    assert len(world.links) == made
+    assert len(harness.links) == link_count
 
 
-def test_the_wait_counts_from_when_the_query_may_have_come() -> None:
-    world = World()
-    world.exchange.submit(query(), Client(), waited=0.25)
-    world.turn()
-    event = world.last()
+def test_time_unread_counts_towards_the_wait() -> None:
+    harness = ExchangeHarness()
+    harness.exchange.submit(make_query(), RecordingReply(), waited=0.25)
+    harness.turn()
+    event = harness.last_event()
     assert isinstance(event, api.QueryArrived)
     assert event.deadline == 1.75
     with pytest.raises(UnusableQueryError):
-        world.exchange.submit(query(2), Client(), waited=2.0)
+        harness.exchange.submit(make_query(2), RecordingReply(), waited=2.0)
 
 
-def test_the_deadline_told_is_one_that_a_late_front_can_keep() -> None:
-    world = World()
-    world.exchange.timer_lateness = lambda: 0.03
-    world.ask()
-    event = world.last()
+def test_deadline_is_reduced_by_the_timer_lateness() -> None:
+    harness = ExchangeHarness()
+    harness.exchange.timer_lateness = lambda: 0.03
+    harness.submit()
+    event = harness.last_event()
     assert isinstance(event, api.QueryArrived)
     assert round(event.deadline, 6) == 1.97
 
 
-def test_timers_fire_at_their_time() -> None:
-    world = World()
-    world.want(api.SetTimer(5, 0.5))
-    batches = len(world.decisions.batches)
-    world.turn(0.4)
-    assert len(world.decisions.batches) == batches
-    world.turn(0.2)
-    world.turn()
-    assert world.last() == api.TimerFired(5)
-
-
-def test_an_error_in_the_decisions_is_logged_and_every_query_is_answered() -> None:
-    world = World()
-    first, client = world.ask(1)
-    world.want(api.Send(first, "a"))
-    link = world.links[0].up()
-    world.decisions.error = RuntimeError("x")
-    _, other = world.ask(2)
-    assert [kind for kind, _ in client.answers] == ["failed"]
-    assert [kind for kind, _ in other.answers] == ["failed"]
-    assert "decisions_fault" in [event for event, _ in world.logged]
-    world.turn()
-    assert len(world.made) == 2  # a new one, which is told the list
-    update = world.decisions.batches[0][0]
+def test_timer_fires_after_its_delay() -> None:
+    harness = ExchangeHarness()
+    harness.execute(api.SetTimer(5, 0.5))
+    batches = len(harness.controller.batches)
+    harness.turn(0.4)
+    assert len(harness.controller.batches) == batches
+    harness.turn(0.2)
+    harness.turn()
+    assert harness.last_event() == api.TimerFired(5)
+
+
+def test_controller_exception_is_logged_and_every_open_query_is_answered() -> None:
+    harness = ExchangeHarness()
+    first, reply = harness.submit(1)
+    harness.execute(api.Send(first, "a"))
+    link = harness.links[0].up()
+    harness.controller.error = RuntimeError("x")
+    _, other_reply = harness.submit(2)
+    assert [kind for kind, _ in reply.answers] == ["failed"]
+    assert [kind for kind, _ in other_reply.answers] == ["failed"]
+    assert "decisions_fault" in [event for event, _ in harness.logged]
+    harness.turn()
+    assert len(harness.controllers) == 2  # the new controller receives the engine list
+    update = harness.controller.batches[0][0]
     assert isinstance(update, api.ListUpdate)
     assert [entry.engine for entry in update.entries] == ["a", "b"]
     link.say(answer(200, PAGE, X_Sheets="1"))
-    world.turn()
-    assert len(client.answers) == 1
-    ticket, third = world.ask(3)
-    world.want(api.Refuse(ticket))
-    assert [kind for kind, _ in third.answers] == ["refused"]
-
-
-def test_an_action_that_cannot_be_carried_out_takes_no_other_along() -> None:
-    world = World()
-    ticket, client = world.ask()
-    world.want(api.Send(12345, "a"), api.Probe("a"), api.Cancel(12345, 0), api.Fail(ticket))
-    assert [kind for kind, _ in client.answers] == ["failed"]
-
-
-def test_a_query_that_the_decisions_forget_is_answered_within_the_slack() -> None:
-    world = World()
-    _, client = world.ask()
-    world.turn(2.0)
-    assert not client.answers
-    world.turn(SETTINGS.rules.answer_slack_s + 0.001)
-    assert [kind for kind, _ in client.answers] == ["failed"]
-    world.turn()
-    assert isinstance(world.last(), api.QueryDropped)
-
-
-def test_what_is_taken_in_is_answered_or_dropped_or_open() -> None:
-    world = World()
-    tickets = [world.ask(number)[0] for number in range(1, 7)]
-    world.want(api.Refuse(tickets[0]), api.Fail(tickets[1]), api.Send(tickets[2], "a"))
-    world.links[0].up().say(answer(200, PAGE, X_Sheets="1"))
-    world.exchange.drop(tickets[3])
-    counts = world.counters.values
+    harness.turn()
+    assert len(reply.answers) == 1
+    ticket, third_reply = harness.submit(3)
+    harness.execute(api.Refuse(ticket))
+    assert [kind for kind, _ in third_reply.answers] == ["refused"]
+
+
+def test_failing_action_does_not_prevent_the_others() -> None:
+    harness = ExchangeHarness()
+    ticket, reply = harness.submit()
+    harness.execute(api.Send(12345, "a"), api.Probe("a"), api.Cancel(12345, 0), api.Fail(ticket))
+    assert [kind for kind, _ in reply.answers] == ["failed"]
+
+
+def test_query_that_the_controller_never_answers_fails_within_the_slack() -> None:
+    harness = ExchangeHarness()
+    _, reply = harness.submit()
+    harness.turn(2.0)
+    assert not reply.answers
+    harness.turn(SETTINGS.rules.answer_slack_s + 0.001)
+    assert [kind for kind, _ in reply.answers] == ["failed"]
+    harness.turn()
+    assert isinstance(harness.last_event(), api.QueryDropped)
+
+
+def test_accepted_queries_are_counted_as_answered_dropped_or_open() -> None:
+    harness = ExchangeHarness()
+    tickets = [harness.submit(number)[0] for number in range(1, 7)]
+    harness.execute(api.Refuse(tickets[0]), api.Fail(tickets[1]), api.Send(tickets[2], "a"))
+    harness.links[0].up().say(answer(200, PAGE, X_Sheets="1"))
+    harness.exchange.drop(tickets[3])
+    counts = harness.counters.values
     answered = counts["queries_served"] + counts["queries_refused"] + counts["queries_failed"]
-    assert (answered, counts["queries_dropped"], world.exchange.unanswered_count) == (3, 1, 2)
-    assert counts["queries_taken"] == answered + counts["queries_dropped"] + world.exchange.unanswered_count
+    assert (answered, counts["queries_dropped"], harness.exchange.unanswered_count) == (3, 1, 2)
+    assert counts["queries_taken"] == answered + counts["queries_dropped"] + harness.exchange.unanswered_count
 
 
-def test_giving_up_all_answers_all_and_leaves_no_attempt_out() -> None:
-    world = World()
-    ticket, client = world.ask(1)
-    _, other = world.ask(2)
-    world.want(api.Send(ticket, "a"))
-    world.links[0].up()
-    world.exchange.fail_open_queries("server shutdown in progress")
-    assert [client.answers, other.answers] == [[("failed", "server shutdown in progress")]] * 2
-    assert world.links[1].up().transport.sent().startswith(b"DELETE ")
+def test_fail_open_queries_answers_all_and_aborts_their_attempts() -> None:
+    harness = ExchangeHarness()
+    ticket, reply = harness.submit(1)
+    _, other_reply = harness.submit(2)
+    harness.execute(api.Send(ticket, "a"))
+    harness.links[0].up()
+    harness.exchange.fail_open_queries("server shutdown in progress")
+    assert [reply.answers, other_reply.answers] == [[("failed", "server shutdown in progress")]] * 2
+    assert harness.links[1].up().transport.sent().startswith(b"DELETE ")
 
 
-def test_a_wait_far_beyond_its_class_can_not_be_used() -> None:
-    world = World()
-    for wait in ("10001", "999999999999"):  # the deadline of the class is 5 s
+def test_wait_above_twice_the_class_deadline_is_rejected() -> None:
+    harness = ExchangeHarness()
+    for wait in ("10001", "999999999999"):  # the class's deadline is 5 s
         with pytest.raises(UnusableQueryError):
-            world.exchange.submit(query(1, wait=wait), Client())
-    world.exchange.submit(query(1, wait="10000"), Client())
+            harness.exchange.submit(make_query(1, wait=wait), RecordingReply())
+    harness.exchange.submit(make_query(1, wait="10000"), RecordingReply())
 
 
-def test_an_id_is_taken_for_as_long_as_an_attempt_with_it_may_be_out() -> None:
-    """An engine would take another statement under that id for the one it has."""
-    world = World()
-    ticket, _ = world.ask(1)
-    world.want(api.Send(ticket, "a"))
-    link = world.links[0].up()
-    world.want(api.Refuse(ticket))
+def test_query_id_stays_reserved_while_an_attempt_is_in_flight() -> None:
+    """Guards against a reused id: the engine would treat the new statement as the one it already runs."""
+    harness = ExchangeHarness()
+    ticket, _ = harness.submit(1)
+    harness.execute(api.Send(ticket, "a"))
+    link = harness.links[0].up()
+    harness.execute(api.Refuse(ticket))
     with pytest.raises(UnusableQueryError):
-        world.exchange.submit(query(1), Client())
+        harness.exchange.submit(make_query(1), RecordingReply())
     link.say(answer(500))
-    world.exchange.submit(query(1), Client())
+    harness.exchange.submit(make_query(1), RecordingReply())
 
 
-def test_nothing_is_kept_of_engines_that_have_gone_nor_of_queries_that_are_over() -> None:
-    """Ids are ever new for hours; addresses are used again."""
-    world = World()
+def test_no_state_remains_of_gone_engines_and_finished_queries() -> None:
+    """Guards against a memory leak: engine and query ids are not reused, while addresses are."""
+    harness = ExchangeHarness()
     for number in range(300):
         name = f"a{number}"
-        world.exchange.apply_list_update(news(2 + number, full=False, **{name: "up"}))
-        ticket, client = world.ask(number + 1)
-        world.want(api.Send(ticket, name))
-        link = world.links[-1].up()
+        harness.exchange.apply_list_update(news(2 + number, full=False, **{name: "up"}))
+        ticket, reply = harness.submit(number + 1)
+        harness.execute(api.Send(ticket, name))
+        link = harness.links[-1].up()
         if number % 3 == 0:
             link.say(answer(200, PAGE, X_Sheets="1"))
         elif number % 3 == 1:
             link.lose()
         else:
-            world.exchange.drop(ticket)
-            world.want(api.Cancel(ticket, 0))
-        world.exchange.apply_list_update(news(2 + number, full=False, **{name: "gone"}))
-        world.turn(0.1)
-        for one in world.links:
-            if one.protocol is None:
-                one.protocol = object()
-                one.time_out()
-        assert len(client.answers) <= 1
+            harness.exchange.drop(ticket)
+            harness.execute(api.Cancel(ticket, 0))
+        harness.exchange.apply_list_update(news(2 + number, full=False, **{name: "gone"}))
+        harness.turn(0.1)
+        for pending in harness.links:
+            if pending.protocol is None:
+                pending.protocol = object()
+                pending.time_out()
+        assert len(reply.answers) <= 1
     for _ in range(100):
-        world.turn(0.1)
-    assert len(world.directory) == 2
-    assert not world.exchange.open_queries and not world.exchange._open_ids
-    assert set(world.exchange._engine_entries) == {"a", "b"}
-    assert not world.pools._idle and not world.pools._established and not world.pools.waiting_calls
-    assert world.pools.open_connections == 0
-
-
-def test_when_the_program_ends_deadlines_are_drawn_in_and_the_decisions_told() -> None:
-    world = World()
-    ticket, client = world.ask(1, wait="9000")
-    world.want(api.Send(ticket, "a"))
-    world.links[0].up()
-    world.exchange.begin_shutdown(1.0)
-    world.turn()
-    by = world.clock.seconds() + 1.0
-    closing = world.last()
-    assert isinstance(closing, api.GatewayClosing) and closing.answer_by == by
-    late, _ = world.ask(2, wait="9000")
-    arrived = world.last()
-    assert isinstance(arrived, api.QueryArrived) and arrived.query == late and arrived.deadline == by
-    world.turn(0.99)
+        harness.turn(0.1)
+    assert len(harness.directory) == 2
+    assert not harness.exchange.open_queries and not harness.exchange._open_ids
+    assert set(harness.exchange._engine_entries) == {"a", "b"}
+    assert not harness.pools._idle and not harness.pools._established and not harness.pools.waiting_calls
+    assert harness.pools.open_connections == 0
+
+
+def test_begin_shutdown_shortens_deadlines_and_notifies_the_controller() -> None:
+    harness = ExchangeHarness()
+    ticket, reply = harness.submit(1, wait="9000")
+    harness.execute(api.Send(ticket, "a"))
+    harness.links[0].up()
+    harness.exchange.begin_shutdown(1.0)
+    harness.turn()
+    answer_by = harness.clock.seconds() + 1.0
+    closing = harness.last_event()
+    assert isinstance(closing, api.GatewayClosing) and closing.answer_by == answer_by
+    late_ticket, _ = harness.submit(2, wait="9000")
+    arrived = harness.last_event()
+    assert (
+        isinstance(arrived, api.QueryArrived)
+        and arrived.query == late_ticket
+        and arrived.deadline == answer_by
+    )
+    harness.turn(0.99)
     assert not [
-        one for batch in world.decisions.batches for one in batch if isinstance(one, api.AttemptEnded)
+        event
+        for batch in harness.controller.batches
+        for event in batch
+        if isinstance(event, api.AttemptEnded)
     ]
-    world.turn(0.02)
-    world.turn()
-    ended = world.last()
+    harness.turn(0.02)
+    harness.turn()
+    ended = harness.last_event()
     assert isinstance(ended, api.AttemptEnded) and ended.outcome is api.Outcome.TIMEOUT
-    assert not ended.query_settled and not client.answers  # the answer is the decisions'
+    assert not ended.query_settled and not reply.answers  # the controller gives the answer
