--- a/tests/test_benchlink.py
+++ b/tests/test_benchlink.py
@@ -1,4 +1,4 @@
-"""The wire: each event and action, the host's instances, and the deploy command as the operators start it."""
+"""Tests of the simulator's protocol: message codec, controller host and the deploy file's command."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from micahold.settings import FormatError, decode_settings
 
 ROOT = Path(__file__).parent.parent
-DECIDING_ACTIONS = {"Send", "Refuse", "Fail"}  # which engine, whether to try again, what to turn away
+DECIDING_ACTIONS = {"Send", "Refuse", "Fail"}  # choice of engine, retry, refusal
 ENV: dict[str, Any] = {
     "bounds": {
         "cancel": True, "connect_timeout_ns": 250000000, "cpu_us_per_s": 100, "max_attempts": 6,
@@ -56,7 +56,7 @@
     "zones": ["z0", "z1"],
     "a_key_of_later": {"unknown": 1},
 }  # fmt: skip
-SHEET = {
+ENGINE_LIST = {
     "what": "sheet",
     "table": 0,
     "members_list": [
@@ -64,54 +64,60 @@
         {"condition": "SERVING", "failure_domain": 1, "hw": 1, "came_up_ns": 6100000000, "engine": "eb"},
     ],
 }
-START: list[dict[str, Any]] = [
+STARTUP_MESSAGES: list[dict[str, Any]] = [
     {"what": "launch", "salt": 5, "env": ENV},
-    SHEET,
+    ENGINE_LIST,
     {"what": "update", "how": "restored", "revision": 4},
 ]
 
 
-def call(number: int = 7, **more: Any) -> dict[str, Any]:
-    return {"what": "call", "txn": number, "qos": 0, "deadline_ns": 12_000_000_000, **more}
+def query_message(number: int = 7, **fields: Any) -> dict[str, Any]:
+    return {"what": "call", "txn": number, "qos": 0, "deadline_ns": 12_000_000_000, **fields}
 
 
-def batch(at: float, *news: dict[str, Any], who: str = "front/0") -> dict[str, Any]:
-    return {"ts_ns": round(at * 1e9), "groups": [{"who": who, "news": list(news)}]}
+def make_batch(now: float, *messages: dict[str, Any], instance: str = "front/0") -> dict[str, Any]:
+    return {"ts_ns": round(now * 1e9), "groups": [{"who": instance, "news": list(messages)}]}
 
 
-def out(reply: dict[str, Any], what: str | None = None) -> list[dict[str, Any]]:
-    found = [one for group in reply["groups"] for one in group["out"]]
-    return [one for one in found if what in (None, one["what"])]
+def actions_of(reply: dict[str, Any], kind: str | None = None) -> list[dict[str, Any]]:
+    """The actions in a reply, of one kind or all."""
+    actions = [action for group in reply["groups"] for action in group["out"]]
+    return [action for action in actions if kind in (None, action["what"])]
 
 
-def test_settings_are_read_in_full() -> None:
-    read = decode_settings(ENV)
-    assert (read.gateway_index, read.gateway_count, read.zones) == (1, 3, ("z0", "z1"))
-    assert read.engine_kinds[1] == api.EngineKind("m1", 12, 24576.0)
-    assert read.classes[1].threads == 4
-    assert read.classes[1].ordered_by_key
-    assert read.classes[1].is_data_load
-    assert read.classes[1].allowed_kinds == frozenset({1})
-    assert read.classes[1].allowed_zones == frozenset({0})
-    assert read.classes[1].dedup_scope is api.DedupScope.CELL
-    assert read.classes[0].waits_for_data_loads
-    assert read.classes[0].soft_deadline_s == 0.5
-    assert read.limits.max_retry_after_s == 1.0
-    assert read.rules == api.Rules(0.02, 0.0, 1.0, 0.3, 14.0, 3.0, 2.0, 0.4, 5, 0.1, 5.0)
-    assert read.tenants == (api.Tenant("t", 0.61, 161.0),)
-    assert (read.status_period_s, read.memory_shortage_policy, read.report_source) == (0.5, "wait", "answers")
+def test_every_setting_is_decoded() -> None:
+    settings = decode_settings(ENV)
+    assert (settings.gateway_index, settings.gateway_count, settings.zones) == (1, 3, ("z0", "z1"))
+    assert settings.engine_kinds[1] == api.EngineKind("m1", 12, 24576.0)
+    assert settings.classes[1].threads == 4
+    assert settings.classes[1].ordered_by_key
+    assert settings.classes[1].is_data_load
+    assert settings.classes[1].allowed_kinds == frozenset({1})
+    assert settings.classes[1].allowed_zones == frozenset({0})
+    assert settings.classes[1].dedup_scope is api.DedupScope.CELL
+    assert settings.classes[0].waits_for_data_loads
+    assert settings.classes[0].soft_deadline_s == 0.5
+    assert settings.limits.max_retry_after_s == 1.0
+    assert settings.rules == api.Rules(0.02, 0.0, 1.0, 0.3, 14.0, 3.0, 2.0, 0.4, 5, 0.1, 5.0)
+    assert settings.tenants == (api.Tenant("t", 0.61, 161.0),)
+    assert (settings.status_period_s, settings.memory_shortage_policy, settings.report_source) == (
+        0.5,
+        "wait",
+        "answers",
+    )
 
 
-def test_settings_may_lack_every_key() -> None:
+def test_missing_settings_get_defaults() -> None:
     assert decode_settings({}).rules == api.Rules()
 
 
 @pytest.mark.parametrize(
-    ("item", "event"),
+    ("message", "event"),
     [
-        (call(est_cost_ns=5000000, mem_mb=9, dataset=3, relation=8, party=1, repeat=True, is_write=True),
+        (query_message(est_cost_ns=5000000, mem_mb=9, dataset=3, relation=8, party=1, repeat=True,
+                       is_write=True),
          api.QueryArrived(7, 0, 1, 12.0, 8, 0.005, 9.0, 3, True, True)),
-        (call(), api.QueryArrived(7, 0, 0, 12.0)),
+        (query_message(), api.QueryArrived(7, 0, 0, 12.0)),
         ({"what": "flowing", "txn": 1, "engine": "e", "cost_time_ns": 1000000000},
          api.AttemptStreaming(1, 0, "e", 1.0)),
         ({"what": "heartbeat", "txn": 1, "try": 2, "engine": "e", "kind": 3, "level": 2},
@@ -128,19 +134,19 @@
         ({"what": "whisper", "origin_peer": 2, "msg": "6869"}, api.PeerMessage(2, b"hi")),
     ],
 )  # fmt: skip
-def test_each_event_is_read(item: dict[str, Any], event: api.Event | None) -> None:
-    assert codec.decode_event(item) == event
+def test_event_is_decoded(message: dict[str, Any], event: api.Event | None) -> None:
+    assert codec.decode_event(message) == event
 
 
 @pytest.mark.parametrize("number", sorted(codec.OUTCOMES))
-def test_each_outcome_is_read(number: int) -> None:
+def test_outcome_number_is_decoded(number: int) -> None:
     event = codec.decode_event({"what": "answer", "txn": 1, "engine": "e", "result": number})
     assert isinstance(event, api.AttemptEnded)
     assert event.outcome is codec.OUTCOMES[number]
 
 
 @pytest.mark.parametrize(
-    ("action", "item"),
+    ("action", "message"),
     [
         (api.Send(1, "e", 2.5), {"what": "relay", "txn": 1, "engine": "e", "expire_at_ns": 2500000000}),
         (api.SetTerms(1, 64.0, 3), {"what": "grant_and_rank", "txn": 1, "grant_mb": 64.0, "rank": 3}),
@@ -157,95 +163,105 @@
         (api.Log("x"), {"what": "print", "line": "x"}),
     ],
 )
-def test_each_action_is_written(action: api.Action, item: dict[str, Any]) -> None:
-    assert codec.encode_action(action) == item
+def test_action_is_encoded(action: api.Action, message: dict[str, Any]) -> None:
+    assert codec.encode_action(action) == message
 
 
 @pytest.mark.parametrize(
-    "item",
+    "message",
     [
         {"what": "no such"}, {}, {"what": "call", "txn": 1}, {"what": "answer", "txn": 1, "engine": "e"},
         {"what": "answer", "txn": 1, "engine": "e", "result": 11}, {"what": "whisper", "msg": "zz"},
         {"what": "call", "txn": "seven", "deadline_ns": 1},
     ],
 )  # fmt: skip
-def test_malformed_events_are_named(item: dict[str, Any]) -> None:
+def test_malformed_event_raises_format_error(message: dict[str, Any]) -> None:
     with pytest.raises(FormatError):
-        codec.decode_event(item)
+        codec.decode_event(message)
 
 
-def test_a_numbered_list_is_replaced_within_a_batch() -> None:
+def test_engine_list_is_replaced_within_a_batch() -> None:
     host = ControllerHost()
-    other = {**SHEET, "members_list": [{"condition": "SERVING", "engine": "ec"}]}
-    news = [*START, other, {"what": "update", "how": "replace", "revision": 5}, call()]
-    (sent,) = out(host.handle_batch(batch(10.0, *news)), "relay")
+    new_list = {**ENGINE_LIST, "members_list": [{"condition": "SERVING", "engine": "ec"}]}
+    messages = [
+        *STARTUP_MESSAGES,
+        new_list,
+        {"what": "update", "how": "replace", "revision": 5},
+        query_message(),
+    ]
+    (sent,) = actions_of(host.handle_batch(make_batch(10.0, *messages)), "relay")
     assert sent["engine"] == "ec"
 
 
-def test_an_unavailable_list_leaves_the_earlier_one() -> None:
+def test_earlier_engine_list_stays_in_use_while_the_list_is_unavailable() -> None:
     host = ControllerHost()
-    news = [*START, {"what": "update", "how": "unavailable"}, call()]
-    assert len(out(host.handle_batch(batch(10.0, *news)), "relay")) == 1
+    messages = [*STARTUP_MESSAGES, {"what": "update", "how": "unavailable"}, query_message()]
+    assert len(actions_of(host.handle_batch(make_batch(10.0, *messages)), "relay")) == 1
 
 
-def test_stop_and_launch_in_one_batch_forget_everything(capsys: pytest.CaptureFixture[str]) -> None:
+def test_stop_and_launch_in_one_batch_discard_all_state(capsys: pytest.CaptureFixture[str]) -> None:
     host = ControllerHost()
-    first = host.handle_batch(batch(10.0, *START, call(1)))
-    (sent,) = out(first, "relay")
-    late = {"what": "answer", "txn": 1, "engine": sent["engine"], "result": 20}
-    reply = host.handle_batch(batch(10.1, {"what": "stop"}, *START, late))
-    assert not out(reply, "relay")
+    first_reply = host.handle_batch(make_batch(10.0, *STARTUP_MESSAGES, query_message(1)))
+    (sent,) = actions_of(first_reply, "relay")
+    late_answer = {"what": "answer", "txn": 1, "engine": sent["engine"], "result": 20}
+    reply = host.handle_batch(make_batch(10.1, {"what": "stop"}, *STARTUP_MESSAGES, late_answer))
+    assert not actions_of(reply, "relay")
     assert "unknown request 1" in capsys.readouterr().err
 
 
-def test_an_event_for_an_instance_that_is_not_running_is_told(capsys: pytest.CaptureFixture[str]) -> None:
-    assert ControllerHost().handle_batch(batch(10.0, call())) == {"groups": []}
+def test_event_for_an_instance_that_is_not_running_is_reported(capsys: pytest.CaptureFixture[str]) -> None:
+    assert ControllerHost().handle_batch(make_batch(10.0, query_message())) == {"groups": []}
     assert "front/0" in capsys.readouterr().err
 
 
-@pytest.mark.parametrize(("txn", "engine", "said"), [(99, "ea", "request 99"), (7, "no", "engine 'no'")])
-def test_outcomes_of_what_was_never_named_are_told_and_ignored(
-    txn: int, engine: str, said: str, capsys: pytest.CaptureFixture[str]
+@pytest.mark.parametrize(
+    ("txn", "engine", "error_text"), [(99, "ea", "request 99"), (7, "no", "engine 'no'")]
+)
+def test_outcome_for_an_unknown_query_or_engine_is_reported_and_ignored(
+    txn: int, engine: str, error_text: str, capsys: pytest.CaptureFixture[str]
 ) -> None:
     host = ControllerHost()
-    host.handle_batch(batch(10.0, *START, call(7)))
-    late = {"what": "answer", "txn": txn, "engine": engine, "result": 10, "settled": True}
-    host.handle_batch(batch(10.1, late))
-    assert said in capsys.readouterr().err
+    host.handle_batch(make_batch(10.0, *STARTUP_MESSAGES, query_message(7)))
+    unknown_answer = {"what": "answer", "txn": txn, "engine": engine, "result": 10, "settled": True}
+    host.handle_batch(make_batch(10.1, unknown_answer))
+    assert error_text in capsys.readouterr().err
 
 
-def test_a_drop_of_an_unknown_request_is_legal(capsys: pytest.CaptureFixture[str]) -> None:
+def test_drop_of_an_unknown_query_is_not_reported(capsys: pytest.CaptureFixture[str]) -> None:
     host = ControllerHost()
-    host.handle_batch(batch(10.0, *START, {"what": "dropped", "txn": 5}))
+    host.handle_batch(make_batch(10.0, *STARTUP_MESSAGES, {"what": "dropped", "txn": 5}))
     assert capsys.readouterr().err == ""
 
 
-def test_a_fault_of_the_decisions_is_the_wires_message(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_controller_exception_becomes_a_fatal_message(monkeypatch: pytest.MonkeyPatch) -> None:
     host = ControllerHost()
-    host.handle_batch(batch(10.0, *START))
+    host.handle_batch(make_batch(10.0, *STARTUP_MESSAGES))
 
-    def broken(*_: object) -> list[api.Action]:
+    def failing_handle(*_: object) -> list[api.Action]:
         raise RuntimeError("out of order")
 
-    monkeypatch.setattr(host.controllers["front/0"], "handle", broken)
-    (fault,) = out(host.handle_batch(batch(10.1, call())), "fatal")
+    monkeypatch.setattr(host.controllers["front/0"], "handle", failing_handle)
+    (fault,) = actions_of(host.handle_batch(make_batch(10.1, query_message())), "fatal")
     assert "out of order" in fault["line"]
 
 
-def day() -> list[dict[str, Any]]:
-    """Two instances, a few queries, an error and a stop."""
-    groups = [{"who": who, "news": START} for who in ("front/0", "front/1")]
-    calls = [
+def example_batches() -> list[dict[str, Any]]:
+    """Batches with two instances, a few queries for each, a timer and a stop."""
+    launches = [{"who": instance, "news": STARTUP_MESSAGES} for instance in ("front/0", "front/1")]
+    queries = [
         {
-            "who": who,
-            "news": [call(number + 10 * at, dataset=number, est_cost_ns=50_000_000) for number in range(5)],
+            "who": instance,
+            "news": [
+                query_message(number + 10 * index, dataset=number, est_cost_ns=50_000_000)
+                for number in range(5)
+            ],
         }
-        for at, who in enumerate(("front/0", "front/1"), start=1)
+        for index, instance in enumerate(("front/0", "front/1"), start=1)
     ]
     return [
         {"ts_ns": 10_000_000_000, "groups": []},
-        {"ts_ns": 10_000_000_000, "groups": groups},
-        {"ts_ns": 10_100_000_000, "groups": calls},
+        {"ts_ns": 10_000_000_000, "groups": launches},
+        {"ts_ns": 10_100_000_000, "groups": queries},
         {
             "ts_ns": 10_200_000_000,
             "groups": [{"who": "front/0", "news": [{"what": "reminder", "cookie": 1}]}],
@@ -254,45 +270,46 @@
     ]
 
 
-def start(text: str, seed: str = "0") -> subprocess.CompletedProcess[str]:
-    """The deploy file's own command, from the root, with this interpreter where it names the venv's."""
+def run_deploy_command(text: str, hash_seed: str = "0") -> subprocess.CompletedProcess[str]:
+    """Runs the deploy file's command in the project's root, with this interpreter in place of the venv's."""
     command = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["sim"]
     command = command.replace(".venv/bin/python", sys.executable)
-    env = {**os.environ, "PYTHONHASHSEED": seed}
+    env = {**os.environ, "PYTHONHASHSEED": hash_seed}
     return subprocess.run(
         ["/bin/sh", "-c", command], input=text, capture_output=True, text=True, cwd=ROOT, env=env, check=False
     )
 
 
-def test_the_deploy_command_answers_batches_alike_under_any_hash_seed() -> None:
-    text = "".join(json.dumps(one) + "\n" for one in day())
-    first, second = start(text, "1"), start(text, "2")
+def test_deploy_command_gives_identical_replies_under_different_hash_seeds() -> None:
+    text = "".join(json.dumps(batch) + "\n" for batch in example_batches())
+    first, second = run_deploy_command(text, "1"), run_deploy_command(text, "2")
     assert (first.returncode, first.stderr) == (0, "")
     assert first.stdout == second.stdout
     replies = [json.loads(line) for line in first.stdout.splitlines()]
-    assert len(replies) == len(day())
-    assert len(out(replies[2], "relay")) == 10
+    assert len(replies) == len(example_batches())
+    assert len(actions_of(replies[2], "relay")) == 10
 
 
-def test_instances_act_alike_in_one_process_and_in_two() -> None:
-    def replies(keep: tuple[str, ...]) -> list[Any]:
-        host, done = ControllerHost(), []
-        for one in day():
-            groups = [group for group in one["groups"] if group["who"] in keep]
-            done += host.handle_batch({**one, "groups": groups})["groups"]
-        return [group for group in done if group["who"] == "front/0"]
+def test_instance_acts_the_same_with_and_without_another_in_its_process() -> None:
+    def replies_of_front_0(instances: tuple[str, ...]) -> list[Any]:
+        host = ControllerHost()
+        replies = []
+        for batch in example_batches():
+            groups = [group for group in batch["groups"] if group["who"] in instances]
+            replies += host.handle_batch({**batch, "groups": groups})["groups"]
+        return [group for group in replies if group["who"] == "front/0"]
 
-    assert replies(("front/0",)) == replies(("front/0", "front/1"))
+    assert replies_of_front_0(("front/0",)) == replies_of_front_0(("front/0", "front/1"))
 
 
 @pytest.mark.parametrize(
     "line", ["not json", "[]", '{"ts_ns":1}', '{"groups":[]}', '{"ts_ns":1,"groups":[3]}']
 )
-def test_a_line_that_is_no_batch_ends_the_process(line: str) -> None:
-    done = start(line + "\n")
-    assert done.returncode == 1
-    assert done.stdout == ""
-    assert len(done.stderr.splitlines()) == 1
+def test_invalid_batch_ends_the_process(line: str) -> None:
+    completed = run_deploy_command(line + "\n")
+    assert completed.returncode == 1
+    assert completed.stdout == ""
+    assert len(completed.stderr.splitlines()) == 1
 
 
 def constructed_actions(text: str) -> set[str]:
@@ -344,5 +361,5 @@
         ("def f(x: api.Fail) -> None: isinstance(x, api.Send)", set()),
     ],
 )
-def test_a_call_constructs_an_action_and_a_pattern_does_not(text: str, actions: set[str]) -> None:
+def test_constructed_actions_counts_calls_but_not_patterns(text: str, actions: set[str]) -> None:
     assert constructed_actions(text) == actions
--- a/tests/test_exchange.py
+++ b/tests/test_exchange.py
@@ -105,7 +105,7 @@
 
 
 def make_query(number: int = 1, **changes: str) -> ClientQuery:
-    """A query with some of the usual fields changed; ``class_`` stands for class, an empty value omits a field."""
+    """A query with some of its fields changed; ``class_`` stands for class, an empty value omits it."""
     fields = {
         "class": "lookup",
         "id": f"{number:016x}",
