--- a/tests/standins.py
+++ b/tests/standins.py
@@ -1,4 +1,4 @@
-"""Small stand-ins for what a front talks to, from the published protocol: engine, command channel, client."""
+"""Stand-ins for the peers of a front, written from the published protocol: engine, channel, client."""
 
 from __future__ import annotations
 
@@ -30,14 +30,17 @@
 
 
 def member(name: str, port: int, phase: str = "Ready") -> dict[str, Any]:
+    """An engine's entry in the command channel's engine list."""
     return {"id": name, "host_port": f"127.0.0.1:{port}", "locality": "east", "flavor": "std", "phase": phase}
 
 
 def list_event(cursor: int, *members: dict[str, Any]) -> dict[str, Any]:
+    """An event of the command channel with a complete engine list."""
     return {"cursor": cursor, "nodes": {"revision": cursor, "complete": True, "members": list(members)}}
 
 
 def configuration(listen: int = 4100, channel: int = 7070, engine: int = 4200) -> dict[str, Any]:
+    """A front's configuration with these ports and one engine."""
     return {
         "name": "n1",
         "listen": f"127.0.0.1:{listen}",
@@ -50,14 +53,15 @@
 
 
 def free_port() -> int:
-    with socket.socket() as found:
-        found.bind(("127.0.0.1", 0))
-        port: int = found.getsockname()[1]
+    """A TCP port on loopback that was free at the time of the call."""
+    with socket.socket() as probe:
+        probe.bind(("127.0.0.1", 0))
+        port: int = probe.getsockname()[1]
         return port
 
 
 class ThreadedServer:
-    """One thread a connection; ends with the test's process."""
+    """An HTTP server with a daemon thread per connection."""
 
     def __init__(self) -> None:
         self.listener = socket.create_server(("127.0.0.1", 0))
@@ -75,50 +79,60 @@
     def _serve(self, connection: socket.socket) -> None:
         with connection, connection.makefile("rb") as lines:
             try:
-                while (head := self._head(lines)) is not None:
-                    self.serve(connection, *head)
+                while (request := self._read_request(lines)) is not None:
+                    self.serve(connection, *request)
             except OSError:
                 return
 
-    def _head(self, lines: Any) -> tuple[str, dict[str, str], bytes] | None:
-        first = lines.readline().decode().strip()
-        if not first:
+    def _read_request(self, lines: Any) -> tuple[str, dict[str, str], bytes] | None:
+        request_line = lines.readline().decode().strip()
+        if not request_line:
             return None
         headers = {}
         while line := lines.readline().decode().strip():
             name, _, value = line.partition(":")
             headers[name.lower()] = value.strip()
-        return first, headers, lines.read(int(headers.get("content-length", 0)))
+        return request_line, headers, lines.read(int(headers.get("content-length", 0)))
 
-    def serve(self, connection: socket.socket, first: str, headers: dict[str, str], body: bytes) -> None:
+    def serve(
+        self, connection: socket.socket, request_line: str, headers: dict[str, str], body: bytes
+    ) -> None:
+        """Answers one request."""
         raise NotImplementedError
 
 
 class Engine(ThreadedServer):
-    """Answers a statement by the word in it: 'rows' at once, 'slow' after a second, 'full', 'hold' never."""
+    """Answers according to a word in the statement.
+
+    'full' gets a 503, 'hold' is never finished, 'slow' gets its rows after a second, any other at once.
+    """
 
     def __init__(self) -> None:
         super().__init__()
         self.requests: list[tuple[str, dict[str, str], bytes]] = []
-        self.started: dict[str, tuple[bytes, float]] = {}
+        self.running: dict[str, tuple[bytes, float]] = {}
 
-    def serve(self, connection: socket.socket, first: str, headers: dict[str, str], body: bytes) -> None:
-        method, path, _ = first.split(" ")
-        self.requests.append((first, headers, body))
+    def serve(
+        self, connection: socket.socket, request_line: str, headers: dict[str, str], body: bytes
+    ) -> None:
+        method, path, _ = request_line.split(" ")
+        self.requests.append((request_line, headers, body))
         if method == "POST":
-            number, page = headers["via-id"], 0
-            self.started[number] = (body, time.monotonic())
+            query_id = headers["via-id"]
+            page = 0
+            self.running[query_id] = (body, time.monotonic())
         else:
-            number, page = path.split("/")[2], int((path.split("/")[3:] or ["0"])[0])
-        statement, since = self.started.get(number, (b"", 0.0))
+            query_id = path.split("/")[2]
+            page = int((path.split("/")[3:] or ["0"])[0])
+        statement, started_at = self.running.get(query_id, (b"", 0.0))
         if method == "DELETE":
-            self.started.pop(number, None)
+            self.running.pop(query_id, None)
             connection.sendall(b"HTTP/1.1 204 No Content\r\n\r\n")
         elif not statement:
             self._answer(connection, "500 Error", "")
         elif b"full" in statement:
             self._answer(connection, "503 Full", "Srv-Untouched: 1\r\n")
-        elif b"hold" in statement or (b"slow" in statement and time.monotonic() < since + 1.0):
+        elif b"hold" in statement or (b"slow" in statement and time.monotonic() < started_at + 1.0):
             time.sleep(0.25)
             self._answer(connection, "202 Accepted", "")
         elif page:
@@ -137,68 +151,72 @@
 
 
 class Channel(ThreadedServer):
-    """A stream of comments, and the events that a test adds."""
+    """Sends the events that a test adds, and comments as keep-alives in between."""
 
     def __init__(self) -> None:
         super().__init__()
         self.events: list[dict[str, Any]] = []
         self.cursors: list[str] = []
 
-    def serve(self, connection: socket.socket, first: str, headers: dict[str, str], body: bytes) -> None:
+    def serve(
+        self, connection: socket.socket, request_line: str, headers: dict[str, str], body: bytes
+    ) -> None:
         self.cursors.append(headers["last-event-id"])
         connection.sendall(b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n")
-        told = 0
+        sent_count = 0
         while True:
-            for event in self.events[told:]:
+            for event in self.events[sent_count:]:
                 data = json.dumps(event, separators=(",", ":"))
                 connection.sendall(f"id: {event['cursor']}\ndata: {data}\n\n".encode())
-                told += 1
+                sent_count += 1
             connection.sendall(b": alive\n")
             time.sleep(0.05)
 
 
 class Client:
-    """One MySQL session, blocking."""
+    """A MySQL session on a blocking socket."""
 
     def __init__(self, port: int) -> None:
         self.socket = socket.create_connection(("127.0.0.1", port), timeout=10)
-        greeting = self._packet()
-        start = greeting.index(b"\0", 5) + 1
-        self.id = int.from_bytes(greeting[start : start + 4], "little")
+        greeting = self._read_packet()
+        id_offset = greeting.index(b"\0", 5) + 1
+        self.id = int.from_bytes(greeting[id_offset : id_offset + 4], "little")
         self.send(mysql_client.login())
         assert self.read()[4] == 0
 
     def send(self, data: bytes) -> None:
         self.socket.sendall(data)
 
-    def _exactly(self, size: int) -> bytes:
+    def _read_exactly(self, size: int) -> bytes:
         data = b""
         while len(data) < size:
-            part = self.socket.recv(size - len(data))
-            if not part:
-                raise EOFError("closed by the front")
-            data += part
+            chunk = self.socket.recv(size - len(data))
+            if not chunk:
+                raise EOFError("the front closed the connection")
+            data += chunk
         return data
 
-    def _packet(self) -> bytes:
-        head = self._exactly(4)
-        return head + self._exactly(int.from_bytes(head[:3], "little"))
+    def _read_packet(self) -> bytes:
+        header = self._read_exactly(4)
+        return header + self._read_exactly(int.from_bytes(header[:3], "little"))
 
     def read(self) -> bytes:
-        """One whole answer: a single packet, or a result up to its second EOF."""
-        data, ends = b"", 0
+        """Reads one response: a single OK or error packet, or a result set up to its second EOF packet."""
+        data = b""
+        eof_count = 0
         while True:
-            packet = self._packet()
+            packet = self._read_packet()
             data += packet
-            if packet[4] in (0x00, 0xFF) and not ends and len(data) == len(packet):
+            if packet[4] in (0x00, 0xFF) and not eof_count and len(data) == len(packet):
                 return data
-            ends += packet[4] == 0xFE and len(packet) == 9
-            if ends == 2:
+            eof_count += packet[4] == 0xFE and len(packet) == 9
+            if eof_count == 2:
                 return data
 
     def ask(
         self, number: int, statement: bytes, wait: int = 2000, **fields: str
     ) -> list[tuple[bytes, bytes, bytes]]:
+        """Sends a query and returns the rows of its result."""
         self.send(mysql_client.ask(number, wait, statement, **fields))
         return mysql_client.read_result(self.read())
 
@@ -206,9 +224,9 @@
         self.socket.close()
 
 
-def wait_until(true: Callable[[], Any], seconds: float = 10.0) -> None:
-    """Waits for something to become true; fails the test where it does not."""
-    end = time.monotonic() + seconds
-    while not true():
-        assert time.monotonic() < end, "did not come true in time"
+def wait_until(condition: Callable[[], Any], timeout_s: float = 10.0) -> None:
+    """Waits until the condition holds; fails the test after ``timeout_s``."""
+    deadline = time.monotonic() + timeout_s
+    while not condition():
+        assert time.monotonic() < deadline, "condition did not hold in time"
         time.sleep(0.01)
