--- a/micahold/benchlink/host.py
+++ b/micahold/benchlink/host.py
@@ -22,7 +22,7 @@
     def __init__(self) -> None:
         self.controllers: dict[str, Controller] = {}
         self.engine_lists: dict[int, tuple[api.EngineEntry, ...]] = {}
-        # For each instance, the query numbers and engine names that it has been told of.
+        # For each instance, the query numbers and engine names that it has received.
         self.known_names: dict[str, tuple[set[int], set[str]]] = {}
 
     def handle_batch(self, batch: Any) -> dict[str, Any]:
--- a/micahold/routing/exchange.py
+++ b/micahold/routing/exchange.py
@@ -178,14 +178,14 @@
                     attempt.shorten_expiry(self._answer_by)
         self._queue_event(api.GatewayClosing(self._answer_by))
 
-    def drop(self, ticket: int) -> None:
-        """Closes the query numbered ``ticket`` without an answer, because its client has disconnected."""
-        open_query = self.open_queries.get(ticket)
+    def drop(self, number: int) -> None:
+        """Closes a query without an answer, because its client disconnected or interrupted it."""
+        open_query = self.open_queries.get(number)
         if open_query is None or open_query.answered:
             return
         self.counters.add("queries_dropped")
-        self._close_query(ticket, open_query, "dropped")
-        self._queue_event(api.QueryDropped(ticket))
+        self._close_query(number, open_query, "dropped")
+        self._queue_event(api.QueryDropped(number))
 
     def apply_list_update(self, news: ListNews) -> None:
         """Applies an update of the engine list to the directory, the pools and the controller.
--- a/tests/test_end_to_end.py
+++ b/tests/test_end_to_end.py
@@ -64,10 +64,10 @@
 
 @pytest.fixture
 def front(tmp_path: Path) -> Iterator[FrontProcess]:
-    process = FrontProcess(tmp_path).wait_until_serving()
-    yield process
-    process.process.kill()
-    process.wait_for_exit()
+    front_process = FrontProcess(tmp_path).wait_until_serving()
+    yield front_process
+    front_process.process.kill()
+    front_process.wait_for_exit()
 
 
 def test_query_is_served_and_its_statement_reaches_the_engine_unchanged(front: FrontProcess) -> None:
--- a/tests/test_exchange.py
+++ b/tests/test_exchange.py
@@ -93,11 +93,11 @@
         self.turn()
 
     def submit(self, number: int = 1, **changes: str) -> tuple[int, RecordingReply]:
-        """Submits a query; returns its ticket and its recorded answers."""
+        """Submits a query; returns its number and its recorded answers."""
         reply = RecordingReply()
-        ticket = self.exchange.submit(make_query(number, **changes), reply)
+        query_number = self.exchange.submit(make_query(number, **changes), reply)
         self.turn()
-        return ticket, reply
+        return query_number, reply
 
     def last_event(self) -> api.Event:
         """The last event that the controller has received."""
@@ -152,23 +152,23 @@
 
 def test_open_query_id_is_rejected_and_accepted_again_after_the_answer() -> None:
     harness = ExchangeHarness()
-    ticket, _ = harness.submit()
+    query_number, _ = harness.submit()
     with pytest.raises(UnusableQueryError):
         harness.exchange.submit(make_query(), RecordingReply())
-    harness.execute(api.Fail(ticket))
+    harness.execute(api.Fail(query_number))
     harness.exchange.submit(make_query(), RecordingReply())
 
 
 def test_result_goes_to_the_client_and_settles_the_query() -> None:
     harness = ExchangeHarness()
-    ticket, reply = harness.submit()
-    harness.execute(api.Send(ticket, "a"))
+    query_number, reply = harness.submit()
+    harness.execute(api.Send(query_number, "a"))
     harness.links[0].up().say(answer(200, PAGE, X_Sheets="1", Srv_Load="inflight:7;util:0.5"))
     assert [kind for kind, _ in reply.answers] == ["served"]
     harness.turn()
     event = harness.last_event()
     assert isinstance(event, api.AttemptEnded)
-    assert (event.query, event.attempt, event.engine, event.outcome) == (ticket, 0, "a", api.Outcome.OK)
+    assert (event.query, event.attempt, event.engine, event.outcome) == (query_number, 0, "a", api.Outcome.OK)
     assert event.query_settled
     assert event.report == api.LoadReport(in_flight=7.0, busy_share=0.5)
     assert not harness.exchange.open_queries
@@ -177,9 +177,9 @@
 @pytest.mark.parametrize(("refusal", "kind"), [(True, "refused"), (False, "failed")])
 def test_query_gets_only_one_final_answer(refusal: bool, kind: str) -> None:
     harness = ExchangeHarness()
-    ticket, reply = harness.submit()
-    final = api.Refuse(ticket, 0.5) if refusal else api.Fail(ticket)
-    harness.execute(final, api.Fail(ticket), api.Refuse(ticket))
+    query_number, reply = harness.submit()
+    final = api.Refuse(query_number, 0.5) if refusal else api.Fail(query_number)
+    harness.execute(final, api.Fail(query_number), api.Refuse(query_number))
     assert [answered_kind for answered_kind, _ in reply.answers] == [kind]
     assert harness.exchange.unanswered_count == 0
 
@@ -187,8 +187,8 @@
 def test_give_up_reason_is_counted_by_class_and_logged() -> None:
     """Guards against a class that is hardly served without any counter showing it."""
     harness = ExchangeHarness()
-    ticket, _ = harness.submit()
-    harness.execute(api.Refuse(ticket, 0.5, api.GiveUpReason.ATTEMPTS_EXHAUSTED))
+    query_number, _ = harness.submit()
+    harness.execute(api.Refuse(query_number, 0.5, api.GiveUpReason.ATTEMPTS_EXHAUSTED))
     assert harness.counters.snapshot()["given_up_lookup_tries"] == 1
     assert [fields["why"] for event, fields in harness.logged if event == "query"] == ["tries"]
 
@@ -196,35 +196,35 @@
 def test_response_202_is_reported_as_attempt_alive() -> None:
     """Guards against cancelling a running attempt as silent although its engine keeps answering."""
     harness = ExchangeHarness()
-    ticket, _ = harness.submit()
-    harness.execute(api.Send(ticket, "a"))
+    query_number, _ = harness.submit()
+    harness.execute(api.Send(query_number, "a"))
     harness.links[0].up().say(answer(202))
     harness.turn()
-    assert harness.last_event() == api.AttemptStatus(ticket, 0, "a", api.AttemptStatusKind.ALIVE)
+    assert harness.last_event() == api.AttemptStatus(query_number, 0, "a", api.AttemptStatusKind.ALIVE)
 
 
 def test_failed_attempt_is_reported_and_the_query_stays_open() -> None:
     harness = ExchangeHarness()
-    ticket, reply = harness.submit()
-    harness.execute(api.Send(ticket, "a"))
+    query_number, reply = harness.submit()
+    harness.execute(api.Send(query_number, "a"))
     harness.links[0].up().say(answer(500))
     harness.turn()
     event = harness.last_event()
     assert isinstance(event, api.AttemptEnded)
     assert (event.outcome, event.query_settled) == (api.Outcome.ERROR, False)
-    harness.execute(api.Send(ticket, "b"))
+    harness.execute(api.Send(query_number, "b"))
     harness.links[1].up().say(answer(200, PAGE, X_Sheets="1"))
     assert [kind for kind, _ in reply.answers] == ["served"]
 
 
 def test_dropped_query_is_reported_once_and_its_late_result_is_discarded() -> None:
     harness = ExchangeHarness()
-    ticket, reply = harness.submit()
-    harness.execute(api.Send(ticket, "a"))
-    harness.exchange.drop(ticket)
-    harness.exchange.drop(ticket)
+    query_number, reply = harness.submit()
+    harness.execute(api.Send(query_number, "a"))
+    harness.exchange.drop(query_number)
+    harness.exchange.drop(query_number)
     harness.turn()
-    assert harness.last_event() == api.QueryDropped(ticket)
+    assert harness.last_event() == api.QueryDropped(query_number)
     harness.links[0].up().say(answer(200, PAGE, X_Sheets="1"))
     harness.turn()
     assert not reply.answers
@@ -233,10 +233,10 @@
 
 def test_cancel_action_aborts_the_attempt() -> None:
     harness = ExchangeHarness()
-    ticket, _ = harness.submit()
-    harness.execute(api.Send(ticket, "a"))
+    query_number, _ = harness.submit()
+    harness.execute(api.Send(query_number, "a"))
     harness.links[0].up()
-    harness.execute(api.Cancel(ticket, 0))
+    harness.execute(api.Cancel(query_number, 0))
     assert harness.links[1].up().transport.sent().startswith(b"DELETE ")
     harness.links[1].say(answer(204))
     harness.turn()
@@ -247,8 +247,8 @@
 
 def test_attempt_expires_no_later_than_its_query() -> None:
     harness = ExchangeHarness()
-    ticket, _ = harness.submit()
-    harness.execute(api.Send(ticket, "a", 999.0))
+    query_number, _ = harness.submit()
+    harness.execute(api.Send(query_number, "a", 999.0))
     assert b"Via-Wait: 2000\r\n" in harness.links[0].up().transport.sent()
     harness.turn(2.0)
     harness.turn()
@@ -259,13 +259,13 @@
 
 def test_attempt_beyond_max_attempts_is_not_started() -> None:
     harness = ExchangeHarness()
-    ticket, _ = harness.submit()
+    query_number, _ = harness.submit()
     for _ in range(SETTINGS.limits.max_attempts):
-        harness.execute(api.Send(ticket, "a"))
+        harness.execute(api.Send(query_number, "a"))
         harness.links[-1].refuse()
     harness.turn()
     link_count = len(harness.links)
-    harness.execute(api.Send(ticket, "a"))
+    harness.execute(api.Send(query_number, "a"))
     harness.turn()
     event = harness.last_event()
     assert isinstance(event, api.AttemptEnded)
@@ -322,15 +322,15 @@
     link.say(answer(200, PAGE, X_Sheets="1"))
     harness.turn()
     assert len(reply.answers) == 1
-    ticket, third_reply = harness.submit(3)
-    harness.execute(api.Refuse(ticket))
+    query_number, third_reply = harness.submit(3)
+    harness.execute(api.Refuse(query_number))
     assert [kind for kind, _ in third_reply.answers] == ["refused"]
 
 
 def test_failing_action_does_not_prevent_the_others() -> None:
     harness = ExchangeHarness()
-    ticket, reply = harness.submit()
-    harness.execute(api.Send(12345, "a"), api.Probe("a"), api.Cancel(12345, 0), api.Fail(ticket))
+    query_number, reply = harness.submit()
+    harness.execute(api.Send(12345, "a"), api.Probe("a"), api.Cancel(12345, 0), api.Fail(query_number))
     assert [kind for kind, _ in reply.answers] == ["failed"]
 
 
@@ -347,10 +347,10 @@
 
 def test_accepted_queries_are_counted_as_answered_dropped_or_open() -> None:
     harness = ExchangeHarness()
-    tickets = [harness.submit(number)[0] for number in range(1, 7)]
-    harness.execute(api.Refuse(tickets[0]), api.Fail(tickets[1]), api.Send(tickets[2], "a"))
+    query_numbers = [harness.submit(number)[0] for number in range(1, 7)]
+    harness.execute(api.Refuse(query_numbers[0]), api.Fail(query_numbers[1]), api.Send(query_numbers[2], "a"))
     harness.links[0].up().say(answer(200, PAGE, X_Sheets="1"))
-    harness.exchange.drop(tickets[3])
+    harness.exchange.drop(query_numbers[3])
     counts = harness.counters.values
     answered = counts["queries_served"] + counts["queries_refused"] + counts["queries_failed"]
     assert (answered, counts["queries_dropped"], harness.exchange.unanswered_count) == (3, 1, 2)
@@ -359,9 +359,9 @@
 
 def test_fail_open_queries_answers_all_and_aborts_their_attempts() -> None:
     harness = ExchangeHarness()
-    ticket, reply = harness.submit(1)
+    query_number, reply = harness.submit(1)
     _, other_reply = harness.submit(2)
-    harness.execute(api.Send(ticket, "a"))
+    harness.execute(api.Send(query_number, "a"))
     harness.links[0].up()
     harness.exchange.fail_open_queries("server shutdown in progress")
     assert [reply.answers, other_reply.answers] == [[("failed", "server shutdown in progress")]] * 2
@@ -379,10 +379,10 @@
 def test_query_id_stays_reserved_while_an_attempt_is_in_flight() -> None:
     """Guards against a reused id: the engine would treat the new statement as the one it already runs."""
     harness = ExchangeHarness()
-    ticket, _ = harness.submit(1)
-    harness.execute(api.Send(ticket, "a"))
+    query_number, _ = harness.submit(1)
+    harness.execute(api.Send(query_number, "a"))
     link = harness.links[0].up()
-    harness.execute(api.Refuse(ticket))
+    harness.execute(api.Refuse(query_number))
     with pytest.raises(UnusableQueryError):
         harness.exchange.submit(make_query(1), RecordingReply())
     link.say(answer(500))
@@ -395,16 +395,16 @@
     for number in range(300):
         name = f"a{number}"
         harness.exchange.apply_list_update(news(2 + number, full=False, **{name: "up"}))
-        ticket, reply = harness.submit(number + 1)
-        harness.execute(api.Send(ticket, name))
+        query_number, reply = harness.submit(number + 1)
+        harness.execute(api.Send(query_number, name))
         link = harness.links[-1].up()
         if number % 3 == 0:
             link.say(answer(200, PAGE, X_Sheets="1"))
         elif number % 3 == 1:
             link.lose()
         else:
-            harness.exchange.drop(ticket)
-            harness.execute(api.Cancel(ticket, 0))
+            harness.exchange.drop(query_number)
+            harness.execute(api.Cancel(query_number, 0))
         harness.exchange.apply_list_update(news(2 + number, full=False, **{name: "gone"}))
         harness.turn(0.1)
         for pending in harness.links:
@@ -423,19 +423,19 @@
 
 def test_begin_shutdown_shortens_deadlines_and_notifies_the_controller() -> None:
     harness = ExchangeHarness()
-    ticket, reply = harness.submit(1, wait="9000")
-    harness.execute(api.Send(ticket, "a"))
+    query_number, reply = harness.submit(1, wait="9000")
+    harness.execute(api.Send(query_number, "a"))
     harness.links[0].up()
     harness.exchange.begin_shutdown(1.0)
     harness.turn()
     answer_by = harness.clock.seconds() + 1.0
     closing = harness.last_event()
     assert isinstance(closing, api.GatewayClosing) and closing.answer_by == answer_by
-    late_ticket, _ = harness.submit(2, wait="9000")
+    late_query, _ = harness.submit(2, wait="9000")
     arrived = harness.last_event()
     assert (
         isinstance(arrived, api.QueryArrived)
-        and arrived.query == late_ticket
+        and arrived.query == late_query
         and arrived.deadline == answer_by
     )
     harness.turn(0.99)
