--- a/micahold/membership/__init__.py
+++ b/micahold/membership/__init__.py
@@ -1,5 +1,5 @@
-"""Instances find each other, know who lives, and share what they saw of engines.
+"""Gossip membership among instances: discovery, failure detection and shared failure reports about engines.
 
-Pure cores (``group`` joins them) with thin I/O around: ``signing``, ``service``. docs/gossip.md is the
-design.
+``group`` combines the pure modules, which do no I/O; ``signing`` (key files) and ``service`` (sockets) are
+thin I/O layers around them. The design is described in docs/gossip.md.
 """
--- a/micahold/membership/signing.py
+++ b/micahold/membership/signing.py
@@ -1,8 +1,9 @@
-"""Ed25519 keys: files, signatures and checks, with ``cryptography``.
+"""Ed25519 keys of the gossip members: key files, signing and signature verification with ``cryptography``.
 
-Two files of S-expressions. A member's own (mode 0600): ``(key ID "SEED" (since TIME) (until TIME))``, one
-list a key; the one begun last that is valid signs. The members' file: ``(member NAME (key ID "PUBLIC" (since
-..) (until ..)))``. Times are ISO 8601 with offset; keys are base64 of 32 bytes.
+Keys are kept in two files of S-expressions. A member's own file (mode 0600) holds one list for each of its
+keys, ``(key ID "SEED" (since TIME) (until TIME))``; of the valid keys, the one with the latest ``since``
+signs. The members' file holds the public keys of all members: ``(member NAME (key ID "PUBLIC" (since ..)
+(until ..)))``. Times are in ISO 8601 with an offset; keys are 32 bytes in base64.
 """
 
 from __future__ import annotations
@@ -23,18 +24,21 @@
 
 from micahold.membership.keyring import Keyring, PublicKey
 
-MOST_BYTES = 1 << 20
-MOST_PUBLIC = 8192
+MOST_BYTES = 1 << 20  # size of a key file
+MOST_PUBLIC = 8192  # parsed public keys that are cached
 SEXP_ERRORS = (sexpdata.ExpectNothing, sexpdata.ExpectSExp, sexpdata.ExpectClosingBracket)
 
 
 class KeyFileError(Exception):
-    """A key file that can't be read; one line of text that names the file."""
+    """A key file cannot be used; the text is one line that names the file."""
 
 
 @dataclass(slots=True, frozen=True)
 class OwnKey:
-    """One of this member's own keys; ``seed`` is secret."""
+    """One of this member's own keys; ``seed`` is secret and left out of the representation.
+
+    The key is valid from ``since`` until before ``until``, in Unix seconds.
+    """
 
     key: str
     seed: bytes
@@ -45,46 +49,54 @@
         return f"OwnKey({self.key!r})"
 
     def private(self) -> Ed25519PrivateKey:
+        """Return the private key that the seed defines."""
         return Ed25519PrivateKey.from_private_bytes(self.seed)
 
     def public(self, member: str) -> PublicKey:
+        """Return the public key of this pair, bound to the name ``member``."""
         raw = self.private().public_key().public_bytes(Encoding.Raw, PublicFormat.Raw)
         return PublicKey(member, self.key, raw, self.since, self.until)
 
 
 def make_key(key: str, since: float = 0.0, until: float = float("inf")) -> OwnKey:
-    """A new key from the system's random numbers."""
-    raw = Ed25519PrivateKey.generate().private_bytes(Encoding.Raw, PrivateFormat.Raw, NoEncryption())
-    return OwnKey(key, raw, since, until)
+    """Generate a key from the operating system's random number generator."""
+    seed = Ed25519PrivateKey.generate().private_bytes(Encoding.Raw, PrivateFormat.Raw, NoEncryption())
+    return OwnKey(key, seed, since, until)
 
 
 class Hand:
-    """A ``Signer``: the valid key that was begun last signs; without a valid one, the last that was."""
+    """A ``Signer`` that signs with the valid key of the latest ``since``.
+
+    If no key is valid at the time, the key of the latest ``since`` signs. The constructor raises
+    ``KeyFileError`` if there are no keys.
+    """
 
     def __init__(self, keys: Iterable[OwnKey]) -> None:
-        self.keys = sorted(keys, key=lambda one: (one.since, one.key))
+        self.keys = sorted(keys, key=lambda own_key: (own_key.since, own_key.key))
         if not self.keys:
-            raise KeyFileError("no key of its own")
-        self._private = {one.key: one.private() for one in self.keys}
+            raise KeyFileError("the member has no key of its own")
+        self._private_keys = {own_key.key: own_key.private() for own_key in self.keys}
 
     def sign(self, now: float, data: bytes) -> tuple[str, bytes]:
-        valid = [one for one in self.keys if one.since <= now < one.until]
-        key = (valid or self.keys)[-1].key
-        return key, self._private[key].sign(data) if data else b""
+        """Return the id of the signing key and the signature, which is empty for empty ``data``."""
+        valid = [own_key for own_key in self.keys if own_key.since <= now < own_key.until]
+        key_id = (valid or self.keys)[-1].key
+        return key_id, self._private_keys[key_id].sign(data) if data else b""
 
 
 class Ed25519Checker:
-    """A ``Checker``; public keys are read once."""
+    """A ``Checker`` that caches parsed public keys."""
 
     def __init__(self) -> None:
-        self._keys: dict[bytes, Ed25519PublicKey] = {}
+        self._parsed_keys: dict[bytes, Ed25519PublicKey] = {}
 
     def check(self, public: bytes, data: bytes, signature: bytes) -> bool:
-        key = self._keys.get(public)
+        """Return whether ``signature`` of ``data`` was made with the private key of ``public``."""
+        key = self._parsed_keys.get(public)
         if key is None:
-            if len(self._keys) >= MOST_PUBLIC:
-                self._keys.clear()
-            key = self._keys[public] = Ed25519PublicKey.from_public_bytes(public)
+            if len(self._parsed_keys) >= MOST_PUBLIC:
+                self._parsed_keys.clear()
+            key = self._parsed_keys[public] = Ed25519PublicKey.from_public_bytes(public)
         try:
             key.verify(signature, data)
         except InvalidSignature:
@@ -92,119 +104,134 @@
         return True
 
 
-# Files
+# Key files
 
 
-def _read(path: str) -> list[Any]:
+def _read_expressions(path: str) -> list[Any]:
+    """Return the S-expressions of a file; raise ``KeyFileError`` if it cannot be read or parsed."""
     try:
         data = Path(path).read_bytes()
         if len(data) > MOST_BYTES:
             raise KeyFileError(f"{path}: more than {MOST_BYTES} bytes")
-        items: list[Any] = sexpdata.parse(data.decode())
-    except OSError as problem:
-        raise KeyFileError(f"{path}: cannot be read: {problem.strerror}") from None
+        expressions: list[Any] = sexpdata.parse(data.decode())
+    except OSError as error:
+        raise KeyFileError(f"{path}: cannot be read: {error.strerror}") from None
     except (ValueError, AssertionError, IndexError, *SEXP_ERRORS):
-        raise KeyFileError(f"{path}: no S-expressions") from None
-    return items
+        raise KeyFileError(f"{path}: cannot be parsed as S-expressions") from None
+    return expressions
 
 
-def _word(item: Any) -> str:
-    return item.value() if isinstance(item, sexpdata.Symbol) else str(item)
+def _atom_text(atom: Any) -> str:
+    return atom.value() if isinstance(atom, sexpdata.Symbol) else str(atom)
 
 
-def _time(text: str) -> float:
-    moment = datetime.fromisoformat(text)
-    if moment.tzinfo is None:
-        raise ValueError("a time needs its offset, such as 2027-01-01T00:00:00+00:00")
-    return moment.timestamp()
+def _parse_time(text: str) -> float:
+    """Return Unix seconds of an ISO 8601 time; raise ``ValueError`` without an offset."""
+    time = datetime.fromisoformat(text)
+    if time.tzinfo is None:
+        raise ValueError("a time needs a UTC offset, such as 2027-01-01T00:00:00+00:00")
+    return time.timestamp()
 
 
-def _key(item: Any, where: str) -> tuple[str, bytes, float, float]:
-    """Id, 32 bytes, since, until."""
+def _parse_key(expression: Any, location: str) -> tuple[str, bytes, float, float]:
+    """Return the key's id, its 32 bytes, ``since`` and ``until``; ``location`` begins the error text."""
     try:
-        head, name, secret, *more = item
-        if _word(head) != "key":
-            raise ValueError('a list that begins with "key"')
-        raw = base64.b64decode(_word(secret), validate=True)
-        if len(raw) != 32:
-            raise ValueError("32 bytes in base64")
+        head, key_id, encoded_key, *validity = expression
+        if _atom_text(head) != "key":
+            raise ValueError('expected a list that begins with "key"')
+        raw_key = base64.b64decode(_atom_text(encoded_key), validate=True)
+        if len(raw_key) != 32:
+            raise ValueError("expected 32 bytes in base64")
         times = {"since": 0.0, "until": float("inf")}
-        for which, text in more:
-            if _word(which) not in times:
-                raise ValueError(f"unknown word {_word(which)}")
-            times[_word(which)] = _time(_word(text))
+        for word, time in validity:
+            if _atom_text(word) not in times:
+                raise ValueError(f"unknown word {_atom_text(word)}")
+            times[_atom_text(word)] = _parse_time(_atom_text(time))
         if times["since"] >= times["until"]:
             raise ValueError("until is not after since")
-        return _word(name), raw, times["since"], times["until"]
-    except (TypeError, ValueError, binascii.Error) as problem:
-        raise KeyFileError(f"{where}: bad key: {problem}") from None
+        return _atom_text(key_id), raw_key, times["since"], times["until"]
+    except (TypeError, ValueError, binascii.Error) as error:
+        raise KeyFileError(f"{location}: bad key: {error}") from None
 
 
 def read_own(path: str) -> list[OwnKey]:
-    """This member's own keys, oldest first."""
-    keys = [OwnKey(*_key(item, f"{path}: entry {at + 1}")) for at, item in enumerate(_read(path))]
-    if not keys:
+    """Read this member's own keys, in the order of the file; raise ``KeyFileError`` if it cannot be used."""
+    own_keys = [
+        OwnKey(*_parse_key(expression, f"{path}: entry {index + 1}"))
+        for index, expression in enumerate(_read_expressions(path))
+    ]
+    if not own_keys:
         raise KeyFileError(f"{path}: holds no key")
-    if len({one.key for one in keys}) < len(keys):
-        raise KeyFileError(f"{path}: a key id stands in it twice")
-    return keys
+    if len({own_key.key for own_key in own_keys}) < len(own_keys):
+        raise KeyFileError(f"{path}: holds a key id twice")
+    return own_keys
 
 
 def read_members(path: str) -> Keyring:
-    """The public keys of all members."""
-    found: list[PublicKey] = []
-    for at, item in enumerate(_read(path)):
-        where = f"{path}: entry {at + 1}"
-        if not isinstance(item, list) or len(item) < 2 or _word(item[0]) != "member":
-            raise KeyFileError(f"{where}: no (member NAME (key ...)) list")
-        name = _word(item[1])
+    """Read the public keys of all members; raise ``KeyFileError`` if the file cannot be used."""
+    public_keys: list[PublicKey] = []
+    for index, expression in enumerate(_read_expressions(path)):
+        location = f"{path}: entry {index + 1}"
+        if not isinstance(expression, list) or len(expression) < 2 or _atom_text(expression[0]) != "member":
+            raise KeyFileError(f"{location}: expected a (member NAME (key ...)) list")
+        name = _atom_text(expression[1])
         if not 0 < len(name) <= 64:
-            raise KeyFileError(f"{where}: a name has 1 to 64 characters")
-        for key, public, since, until in (_key(one, f"{where} ({name})") for one in item[2:]):
+            raise KeyFileError(f"{location}: a member's name must have 1 to 64 characters")
+        for key_id, raw_key, since, until in (
+            _parse_key(key_expression, f"{location} ({name})") for key_expression in expression[2:]
+        ):
             try:
-                Ed25519PublicKey.from_public_bytes(public)
+                Ed25519PublicKey.from_public_bytes(raw_key)
             except ValueError:
-                raise KeyFileError(f"{where} ({name}): key {key} is no Ed25519 key") from None
-            found.append(PublicKey(name, key, public, since, until))
+                raise KeyFileError(f"{location} ({name}): key {key_id} is not an Ed25519 key") from None
+            public_keys.append(PublicKey(name, key_id, raw_key, since, until))
     try:
-        return Keyring(found, Ed25519Checker())
-    except ValueError as problem:
-        raise KeyFileError(f"{path}: {problem}") from None
+        return Keyring(public_keys, Ed25519Checker())
+    except ValueError as error:
+        raise KeyFileError(f"{path}: {error}") from None
 
 
-def _moment(at: float) -> str:
-    return datetime.fromtimestamp(at, UTC).isoformat(timespec="seconds")
+def _format_time(unix_s: float) -> str:
+    return datetime.fromtimestamp(unix_s, UTC).isoformat(timespec="seconds")
 
 
-def _show(key: str, raw: bytes, since: float, until: float) -> str:
-    text = f'(key {key} "{base64.b64encode(raw).decode()}"'
-    text += f' (since "{_moment(since)}")' if since > 0 else ""
-    text += f' (until "{_moment(until)}")' if until < float("inf") else ""
+def _format_key(key_id: str, raw_key: bytes, since: float, until: float) -> str:
+    text = f'(key {key_id} "{base64.b64encode(raw_key).decode()}"'
+    text += f' (since "{_format_time(since)}")' if since > 0 else ""
+    text += f' (until "{_format_time(until)}")' if until < float("inf") else ""
     return text + ")"
 
 
-def _write(path: str, text: str, mode: int) -> None:
-    """Whole or not at all: a reader never meets half a file, and a secret is never readable by others."""
-    beside = f"{path}.new"
-    descriptor = os.open(beside, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, mode)
-    with os.fdopen(descriptor, "w") as out:
-        out.write(text)
-        out.flush()
-        os.fsync(out.fileno())
-    os.replace(beside, path)
+def _write_atomically(path: str, text: str, mode: int) -> None:
+    """Write a temporary file beside ``path`` and rename it, so that a reader never sees a partial file.
+
+    The temporary file is created with ``mode``, so that a secret is never readable by other users.
+    """
+    temporary_path = f"{path}.new"
+    descriptor = os.open(temporary_path, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, mode)
+    with os.fdopen(descriptor, "w") as file:
+        file.write(text)
+        file.flush()
+        os.fsync(file.fileno())
+    os.replace(temporary_path, path)
 
 
 def write_own(path: str, keys: Iterable[OwnKey]) -> None:
-    lines = [_show(one.key, one.seed, one.since, one.until) for one in keys]
-    _write(path, "; secret: this member's own keys\n" + "\n".join(lines) + "\n", 0o600)
+    """Write a member's own keys to a file that only its owner can read."""
+    lines = [_format_key(own_key.key, own_key.seed, own_key.since, own_key.until) for own_key in keys]
+    _write_atomically(path, "; secret: this member's own keys\n" + "\n".join(lines) + "\n", 0o600)
 
 
 def write_members(path: str, keys: Iterable[PublicKey]) -> None:
-    by_name: dict[str, list[PublicKey]] = {}
-    for one in keys:
-        by_name.setdefault(one.member, []).append(one)
+    """Write the public keys of all members, sorted by member name."""
+    keys_by_member: dict[str, list[PublicKey]] = {}
+    for public_key in keys:
+        keys_by_member.setdefault(public_key.member, []).append(public_key)
     lines = ["; public keys of all members of the group"]
-    for name in sorted(by_name):
-        shown = [_show(one.key, one.public, one.since, one.until) for one in by_name[name]]
-        lines.append(f"(member {name}\n  " + "\n  ".join(shown) + ")")
-    _write(path, "\n".join(lines) + "\n", 0o644)
+    for name in sorted(keys_by_member):
+        formatted = [
+            _format_key(public_key.key, public_key.public, public_key.since, public_key.until)
+            for public_key in keys_by_member[name]
+        ]
+        lines.append(f"(member {name}\n  " + "\n  ".join(formatted) + ")")
+    _write_atomically(path, "\n".join(lines) + "\n", 0o644)
--- a/tests/test_membership_wire.py
+++ b/tests/test_membership_wire.py
@@ -1,4 +1,4 @@
-"""Whatever bytes arrive: nothing is raised, nothing changes, and the way out is bounded."""
+"""Malformed, forged or replayed input raises no exception, changes no state and causes bounded output."""
 
 from __future__ import annotations
 
@@ -12,17 +12,18 @@
 from micahold.membership.group import Group
 from micahold.membership.wire import Kind, Signed, WireError
 
-SOURCE = ("10.0.0.1", 7946)
+SOURCE_ADDRESS = ("10.0.0.1", 7946)
 
 
-def settled(seed: int = 1) -> Group:
-    net = Network(seed=seed)
-    net.group(3)
-    net.run(10)
-    return net.nodes["m0"].group
+def converged_member(seed: int = 1) -> Group:
+    """Return member m0 of a group of three after ten seconds, when all members have found each other."""
+    network = Network(seed=seed)
+    network.group(3)
+    network.run(10)
+    return network.nodes["m0"].group
 
 
-GROUP = settled()
+GROUP = converged_member()
 NOW = START + 10.0
 
 
@@ -35,54 +36,54 @@
     ]
 
 
-def by_m1(body: bytes, kind: int = Kind.PACKET) -> bytes:
-    """Signed as m1 signs: what a member with good keys may send."""
-    hand = QuickHand("k1", secret_of("m1"))
-    signature = hand.sign(0.0, wire.signed_bytes(kind, "m1", "k1", body))[1]
+def signed_by_m1(body: bytes, kind: int = Kind.PACKET) -> bytes:
+    """Encode a statement with a valid signature of m1, as any member with valid keys can send it."""
+    signer = QuickHand("k1", secret_of("m1"))
+    signature = signer.sign(0.0, wire.signed_bytes(kind, "m1", "k1", body))[1]
     return msgspec.msgpack.encode([kind, "m1", "k1", body, signature])
 
 
 @given(st.binary(max_size=3000))
 @settings(max_examples=300)
-def test_garbage_is_counted_and_dropped(data: bytes) -> None:
-    before = state(GROUP)
+def test_random_bytes_are_dropped_without_a_state_change(data: bytes) -> None:
+    state_before = state(GROUP)
     GROUP.ingress.buckets.clear()
     GROUP.ingress.window.__init__()  # type: ignore[misc]
-    GROUP.receive(NOW, data, SOURCE)
-    assert GROUP.frame(NOW, data, SOURCE) == []
-    assert state(GROUP) == before
+    GROUP.receive(NOW, data, SOURCE_ADDRESS)
+    assert GROUP.frame(NOW, data, SOURCE_ADDRESS) == []
+    assert state(GROUP) == state_before
     assert not GROUP.outbox
 
 
-FIELDS = st.recursive(
+ARBITRARY_BODIES = st.recursive(
     st.none() | st.booleans() | st.integers(-(2**63), 2**64 - 1) | st.floats() | st.binary(max_size=100)
     | st.text(max_size=80),
-    lambda inner: st.lists(inner, max_size=6),
+    lambda children: st.lists(children, max_size=6),
     max_leaves=20,
 )  # fmt: skip
 
 
-@given(FIELDS, st.sampled_from(list(Kind)))
+@given(ARBITRARY_BODIES, st.sampled_from(list(Kind)))
 @settings(max_examples=300)
-def test_any_field_out_of_range_is_dropped_even_under_a_good_signature(body: object, kind: Kind) -> None:
-    before = state(GROUP)
+def test_body_of_wrong_shape_is_dropped_even_with_valid_signature(body: object, kind: Kind) -> None:
+    state_before = state(GROUP)
     GROUP.ingress.buckets.clear()
     GROUP.ingress.window.__init__()  # type: ignore[misc]
-    data = by_m1(msgspec.msgpack.encode(body), kind)
-    GROUP.receive(NOW, data, SOURCE)
-    assert GROUP.frame(NOW, data, SOURCE) == []
-    assert state(GROUP) == before
+    data = signed_by_m1(msgspec.msgpack.encode(body), kind)
+    GROUP.receive(NOW, data, SOURCE_ADDRESS)
+    assert GROUP.frame(NOW, data, SOURCE_ADDRESS) == []
+    assert state(GROUP) == state_before
 
 
-def test_every_cut_of_a_good_datagram_is_dropped_and_the_whole_is_taken_once() -> None:
-    group = settled(2)
+def test_truncated_datagrams_are_dropped_and_the_whole_one_is_accepted_only_once() -> None:
+    group = converged_member(2)
     packet = wire.Packet("m0", 2**62, 1, int(NOW * 1000), (wire.Ping(7),), ())
-    data = by_m1(wire.encode(packet))
+    data = signed_by_m1(wire.encode(packet))
     for end in range(len(data)):
-        group.receive(NOW + end, data[:end], SOURCE)
+        group.receive(NOW + end, data[:end], SOURCE_ADDRESS)
     assert not group.outbox
     for _ in range(2):
-        group.receive(NOW + 30, data, SOURCE)
+        group.receive(NOW + 30, data, SOURCE_ADDRESS)
     assert len(group.outbox) == 1
     assert group.counts["datagrams_repeated"] == 1
 
@@ -94,47 +95,57 @@
         wire.Packet("m0", 2**62, 1, int(NOW * 1000) - 3_600_000, (wire.Ping(7),), ()),
         wire.Packet("m0", 1, 1, int(NOW * 1000), (wire.Ping(7),), ()),
     ],
-    ids=["to another", "an hour old", "an old run"],
+    ids=["to another member", "an hour old", "of an earlier run"],
 )
-def test_a_good_datagram_out_of_place_is_dropped(packet: wire.Packet) -> None:
-    group = settled(3)
-    group.receive(NOW, by_m1(wire.encode(packet)), SOURCE)
+def test_validly_signed_datagram_that_is_misaddressed_or_stale_is_dropped(packet: wire.Packet) -> None:
+    group = converged_member(3)
+    group.receive(NOW, signed_by_m1(wire.encode(packet)), SOURCE_ADDRESS)
     assert not group.outbox
 
 
-def test_too_long_is_dropped_unread() -> None:
+def test_datagram_above_the_maximum_size_is_rejected() -> None:
     with pytest.raises(WireError):
         wire.decode_signed(bytes(wire.MOST_DATAGRAM + 1))
 
 
-def test_nobody_speaks_for_another() -> None:
-    group = settled(4)
-    before = group.roster.members["m2"].record
-    forged = wire.Record(2**60, "10.9.9.9", 1, left=True)
-    body = wire.encode(forged)
-    hand = QuickHand("k1", secret_of("m1"))
+def test_record_forged_in_the_name_of_another_member_is_rejected() -> None:
+    group = converged_member(4)
+    record_before = group.roster.members["m2"].record
+    forged_record = wire.Record(2**60, "10.9.9.9", 1, left=True)
+    body = wire.encode(forged_record)
+    signer = QuickHand("k1", secret_of("m1"))
     data = wire.signed_bytes(Kind.RECORD, "m2", "k1", body)
-    item = Signed(Kind.RECORD, "m2", "k1", body, hand.sign(0.0, data)[1])
-    packet = wire.Packet("m0", 2**62, 1, int(NOW * 1000), (), (item,))
-    group.receive(NOW, by_m1(wire.encode(packet)), SOURCE)
-    assert group.roster.members["m2"].record == before
+    statement = Signed(Kind.RECORD, "m2", "k1", body, signer.sign(0.0, data)[1])
+    packet = wire.Packet("m0", 2**62, 1, int(NOW * 1000), (), (statement,))
+    group.receive(NOW, signed_by_m1(wire.encode(packet)), SOURCE_ADDRESS)
+    assert group.roster.members["m2"].record == record_before
     assert group.counts["statements_bad_signature"] == 1
 
 
-def test_a_signature_of_one_kind_is_none_of_another() -> None:
-    body, hand = wire.encode(wire.Record(1, "a", 1)), QuickHand("k1", secret_of("m1"))
-    made = hand.sign(0.0, wire.signed_bytes(Kind.RECORD, "m1", "k1", body))[1]
-    assert made != hand.sign(0.0, wire.signed_bytes(Kind.DRAINS, "m1", "k1", body))[1]
+def test_signature_covers_the_kind_and_the_boundaries_between_fields() -> None:
+    body, signer = wire.encode(wire.Record(1, "a", 1)), QuickHand("k1", secret_of("m1"))
+    signature = signer.sign(0.0, wire.signed_bytes(Kind.RECORD, "m1", "k1", body))[1]
+    assert signature != signer.sign(0.0, wire.signed_bytes(Kind.DRAINS, "m1", "k1", body))[1]
     assert wire.signed_bytes(1, "ab", "c", b"") != wire.signed_bytes(1, "a", "bc", b"")
 
 
-FIGURE, BIG = st.integers(0, 10**6), st.integers(0, 2**62)
-ROW_LISTS = st.lists(st.tuples(st.text(min_size=1, max_size=64), FIGURE, FIGURE), max_size=16).map(tuple)
+COUNTS = st.integers(0, 10**6)
+LARGE_INTEGERS = st.integers(0, 2**62)
+ROWS = st.lists(st.tuples(st.text(min_size=1, max_size=64), COUNTS, COUNTS), max_size=16).map(tuple)
 
 
-@given(st.builds(wire.Testimony, run=BIG, sequence=BIG, at=BIG, window=FIGURE, rows=ROW_LISTS))
-def test_what_is_encoded_is_read_back(said: wire.Testimony) -> None:
-    signed = Signed(Kind.TESTIMONY, "m1", "k1", wire.encode(said), bytes(64))
-    again = wire.decode_signed(wire.encode(signed), wire.MOST_FRAME)
-    assert wire.decode_body(again, wire.Testimony) == said
+@given(
+    st.builds(
+        wire.Testimony,
+        run=LARGE_INTEGERS,
+        sequence=LARGE_INTEGERS,
+        at=LARGE_INTEGERS,
+        window=COUNTS,
+        rows=ROWS,
+    )
+)
+def test_encoded_testimony_decodes_to_the_same_and_fits_its_size_bound(testimony: wire.Testimony) -> None:
+    signed = Signed(Kind.TESTIMONY, "m1", "k1", wire.encode(testimony), bytes(64))
+    decoded = wire.decode_signed(wire.encode(signed), wire.MOST_FRAME)
+    assert wire.decode_body(decoded, wire.Testimony) == testimony
     assert len(wire.encode(signed)) <= signed.length()
