--- a/tests/test_gossip_loopback.py
+++ b/tests/test_gossip_loopback.py
@@ -1,6 +1,4 @@
-"""Gossip beside real fronts on loopback: ten processes of which one lies, keys that change, and what is
-off.
-"""
+"""Gossip in real front processes on loopback: a lying member, key rotation, key files, gossip off."""
 
 from __future__ import annotations
 
@@ -33,11 +31,11 @@
 ROOT = Path(__file__).parent.parent
 ROWS = 3
 RATE = 16 * 1024
-LAST_RELEASE_KB = 33_160  # resident at the start, release 0.3.0, this test's probe, median of three
+LAST_RELEASE_KB = 33_160  # resident memory of release 0.3.0 at its start, measured as below, median of three
 
 
-def quiet_port(taken: set[int] = set()) -> int:  # noqa: B006  # shared on purpose: none is given out twice
-    """A port free for TCP and UDP, below those that the system gives to outgoing connections."""
+def quiet_port(taken: set[int] = set()) -> int:  # noqa: B006  # shared on purpose, so that no port is used twice
+    """Return a free TCP and UDP port below the system's ephemeral range, which outgoing connections use."""
     for port in range(21000 + os.getpid() % 500 * 20, 32000):
         if port in taken:
             continue
@@ -53,7 +51,7 @@
 
 
 class Fleet:
-    """Fronts with gossip, two engines, one channel; all of them processes of their own but the stand-ins."""
+    """Front processes with gossip, and lying members, with two engines and a channel in this process."""
 
     def __init__(self, folder: Path, number: int, lying: int = 0) -> None:
         self.folder, self.names = folder, [f"g{one}" for one in range(number + lying)]
@@ -101,7 +99,7 @@
         ]
 
     def alive(self, name: str) -> set[str]:
-        """Members that this front's log says live."""
+        """Return the members whose latest status in this front's log is alive or suspect."""
         last: dict[str, str] = {}
         for one in self.events(name, "member"):
             last[one["name"]] = one["now"]
@@ -124,7 +122,7 @@
     yield tmp_path
 
 
-def test_ten_processes_one_of_them_forging_claims(folder: Path) -> None:
+def test_ten_processes_serve_queries_while_one_sends_false_reports(folder: Path) -> None:
     fleet = Fleet(folder, 9, lying=1)
     try:
         fronts = fleet.names[:9]
@@ -154,7 +152,7 @@
         fleet.stop()
 
 
-def test_a_key_changes_in_service_by_sighup_and_members_are_asked(folder: Path) -> None:
+def test_key_rotation_by_sighup_and_members_command(folder: Path) -> None:
     fleet = Fleet(folder, 3)
     try:
         until(lambda: all(fleet.alive(name) == set(fleet.names) - {name} for name in fleet.names), 20.0)
@@ -183,12 +181,12 @@
         until(lambda: all(len(fleet.events(one, "operator_reload")) == 2 for one in fleet.names))
         until(lambda: all(fleet.asked(name)["counts"]["probes_good"] > 8 for name in fleet.names))
         assert all(fleet.alive(name) == set(fleet.names) - {name} for name in fleet.names)
-        # A file that can't be used changes nothing and ends nothing.
+        # An unusable file changes nothing and does not stop the front.
         (folder / "g0.sexp").write_text("(gossip (rate")
         fleet.processes["g0"].send_signal(signal.SIGHUP)
         until(lambda: fleet.events("g0", "operator_reload_refused"))
         assert fleet.processes["g0"].poll() is None
-        # A leave is told: nobody suspects it, and the bound falls.
+        # A leaving member announces it, so the others log "left" and the size bound falls.
         fleet.processes["g2"].send_signal(signal.SIGTERM)
         assert fleet.processes["g2"].wait(20) == 0
         until(lambda: any(one["now"] == "left" for one in fleet.events("g1", "member")))
@@ -201,7 +199,7 @@
     return next(int(one["incarnation"]) for one in fleet.asked(viewer)["members"] if one["name"] == name)
 
 
-def test_off_a_started_front_imports_nothing_of_it_and_is_no_larger(folder: Path) -> None:
+def test_front_without_gossip_imports_none_of_it_and_uses_no_more_memory(folder: Path) -> None:
     (folder / "c.json").write_text(json.dumps(configuration(free_port(), free_port())))
     probe = (
         "import sys, threading, os, signal\n"
@@ -231,7 +229,7 @@
     assert not [one for one in modules if one.startswith("micahold.") and one.split(".")[1] in parts]
 
 
-def test_an_operators_file_that_cannot_be_used_is_told_and_ends_with_2(folder: Path) -> None:
+def test_unusable_operator_file_is_reported_and_exits_with_status_2(folder: Path) -> None:
     (folder / "c.json").write_text(json.dumps(configuration(free_port(), free_port())))
     (folder / "o.sexp").write_text('(gossip (listen "127.0.0.1:1") (rate x))')
     environment = {
@@ -250,7 +248,7 @@
 # Key files
 
 
-def test_key_files_are_read_as_written_and_secrets_are_for_their_owner_alone(folder: Path) -> None:
+def test_key_files_round_trip_and_secrets_are_readable_only_by_their_owner(folder: Path) -> None:
     path, public = str(folder / "own"), str(folder / "all")
     keys = [make_key("k1", until=2e9), make_key("k2", since=1e9)]
     write_own(path, keys)
@@ -279,7 +277,7 @@
         '(key k1 "' + "A" * 43 + '=" (since x))',
     ],
 )
-def test_a_key_file_that_cannot_be_used_is_one_line_that_names_it(folder: Path, text: str) -> None:
+def test_unusable_key_file_error_is_one_line_that_names_the_file(folder: Path, text: str) -> None:
     path = folder / "bad"
     path.write_text(text)
     with pytest.raises(KeyFileError) as caught:
@@ -287,7 +285,7 @@
     assert str(path) in str(caught.value) and "\n" not in str(caught.value)
 
 
-def test_keys_are_listed_with_their_state(folder: Path) -> None:
+def test_keys_list_shows_the_state_of_each_key(folder: Path) -> None:
     public = str(folder / "all")
     write_members(public, [make_key("k1", until=1e9).public("a"), make_key("k2").public("a")])
     told = CliRunner().invoke(command, ["keys", "list", "--members", public, "--json"])
--- a/tests/test_membership_network.py
+++ b/tests/test_membership_network.py
@@ -1,4 +1,4 @@
-"""The hard cases of a group, on a seeded network in virtual time."""
+"""Gossip groups under lying members, network faults, restarts and key changes, in virtual time."""
 
 from __future__ import annotations
 
@@ -18,7 +18,10 @@
 
 
 def see(net: Network, failing: set[str] = frozenset(), each: int = 2, only: set[str] | None = None) -> None:  # type: ignore[assignment]
-    """From now on every member makes attempts on all engines, twice a second."""
+    """Make every member send ``each`` attempts to all engines twice a second from now on.
+
+    Attempts on the engines in ``failing`` fail; with ``only``, no other members send attempts.
+    """
 
     def act() -> None:
         for node in net.living():
@@ -34,7 +37,7 @@
 
 
 def with_liars(number: int, kind: type[Group], members: int = 10, **options: Any) -> Network:
-    """The last ``number`` of the members are of that kind."""
+    """Return a converged network in which the last ``number`` of the members are of class ``kind``."""
     net = Network(seed=11, **options)
     first = members - number
     net.group(members, lambda name: kind if int(name[1:]) >= first else Group)
@@ -47,7 +50,7 @@
 
 
 def believed(net: Network, seconds: float, view: Callable[[Group], frozenset[str]]) -> set[str]:
-    """All that any honest member was told within that time."""
+    """Return all engines that ``view`` gave for any honest member within that time."""
     found: set[str] = set()
     end = net.now + seconds
     while net.now < end:
@@ -63,11 +66,11 @@
     )
 
 
-# Lies
+# Lying members
 
 
 @pytest.mark.parametrize("number", [1, 2, 3])
-def test_up_to_three_of_ten_that_declare_every_engine_dead_are_not_believed(number: int) -> None:
+def test_false_failure_reports_of_up_to_three_of_ten_members_have_no_effect(number: int) -> None:
     net = with_liars(number, liars.Slanderer)
     see(net)
     assert not believed(net, 20, lambda group: group.verdict.failing)
@@ -78,13 +81,13 @@
     assert under_the_rate(net)
 
 
-def test_three_that_collude_are_not_believed_by_members_that_saw_nothing_themselves() -> None:
+def test_three_colluding_liars_do_not_convince_members_without_own_attempts() -> None:
     net = with_liars(3, liars.Slanderer)
     see(net, only={"m1"})
     assert not believed(net, 10, lambda group: group.verdict.failing)
 
 
-def test_what_truly_fails_is_heard_by_who_has_seen_little_of_it() -> None:
+def test_true_engine_failure_reaches_members_without_own_attempts() -> None:
     net = with_liars(1, liars.Flatterer)
     see(net, failing={"e3"}, only={"m0", "m1", "m2", "m3", "m4"})
     found = believed(net, 5, lambda group: group.verdict.failing)
@@ -92,7 +95,7 @@
     assert all("e3" in node.group.verdict.failing for node in honest(net))
 
 
-def test_one_that_calls_a_failing_engine_healthy_loses_its_credit() -> None:
+def test_member_that_reports_a_failing_engine_healthy_loses_credit() -> None:
     net = with_liars(1, liars.Flatterer)
     see(net, failing={"e3"})
     net.run(10)
@@ -101,7 +104,7 @@
         assert node.group.evidence.voices["m9"].believed(net.now) < 0.5
 
 
-def test_equivocation_is_proven_to_all_and_ends_the_voice() -> None:
+def test_equivocation_is_proven_to_all_members_and_the_liar_is_ignored() -> None:
     net = with_liars(1, liars.Equivocator)
     see(net, only={"m1", "m8"})
     net.run(15)
@@ -110,13 +113,13 @@
     assert not [node for node in honest(net) if set(node.group.evidence.proofs) - {"m9"}]
 
 
-def test_one_that_says_all_engines_drain_takes_none_away() -> None:
+def test_false_drain_reports_of_one_member_have_no_effect() -> None:
     net = with_liars(1, liars.Drainer)
     see(net)
     assert not believed(net, 10, lambda group: group.verdict.draining)
 
 
-def test_three_that_say_so_take_a_stated_part_for_a_stated_time() -> None:
+def test_false_drain_reports_of_three_members_affect_few_engines_for_a_short_time() -> None:
     net = with_liars(3, liars.Drainer)
     see(net)
     assert len(believed(net, 2, lambda group: group.verdict.draining)) <= len(ENGINES) // 8
@@ -124,7 +127,7 @@
     assert not believed(net, 30, lambda group: group.verdict.draining)
 
 
-def test_one_that_accuses_everybody_buries_nobody_and_is_not_believed() -> None:
+def test_member_that_suspects_everybody_causes_no_false_death_and_loses_trust() -> None:
     net = with_liars(1, liars.Accuser)
     net.run(60)
     assert net.wrong_deaths() == 0
@@ -132,7 +135,7 @@
     assert under_the_rate(net)
 
 
-def test_a_flooding_member_takes_no_more_than_its_own_part() -> None:
+def test_flooding_member_exhausts_only_its_own_share_of_the_receive_rate() -> None:
     net = with_liars(1, liars.Flooder, loss=0.0)
     net.run(20)
     victim = net.nodes["m0"].group
@@ -142,10 +145,10 @@
     assert all(net.status("m0", node.name) is Status.ALIVE for node in honest(net) if node.name != "m0")
 
 
-# What is on the way
+# Replays and network faults
 
 
-def test_datagrams_of_an_hour_ago_are_dropped_unchecked() -> None:
+def test_replayed_datagrams_are_dropped_without_verifying_signatures() -> None:
     net, kept = Network(seed=2), list[tuple[str, Datagram]]()
 
     def tap(sender: str, datagram: Datagram) -> list[Datagram]:
@@ -168,7 +171,7 @@
     assert group.counts["datagrams_repeated"] == 20
 
 
-def test_a_way_that_alters_bytes_harms_nobody() -> None:
+def test_corrupted_datagrams_cause_no_false_death_and_no_unknown_members() -> None:
     net = Network(seed=5)
 
     def alter(sender: str, datagram: Datagram) -> list[Datagram]:
@@ -191,7 +194,7 @@
         assert set(node.group.roster.members) == {f"m{one}" for one in range(6)} - {node.name}
 
 
-def test_members_that_pass_nothing_on_and_ways_that_reorder_and_repeat_delay_news_only() -> None:
+def test_death_is_detected_despite_members_that_relay_nothing_reordering_and_duplicates() -> None:
     net = with_liars(4, liars.Withholder, delay=(0.001, 0.3), duplicates=0.3)
     net.kill("m0")
     knows = net.run_until(lambda: all(net.status(one.name, "m0") is Status.DEAD for one in net.living()), 60)
@@ -199,7 +202,7 @@
     assert net.wrong_deaths() == 0
 
 
-def test_a_link_that_works_one_way_buries_nobody() -> None:
+def test_one_way_link_failure_causes_no_false_death() -> None:
     net = Network(seed=6)
     net.group(8)
     net.run_until(net.agree, 20)
@@ -209,7 +212,7 @@
 
 
 @pytest.mark.parametrize("small", [5, 2])
-def test_a_partition_heals_and_meanwhile_no_side_raises_its_part(small: int) -> None:
+def test_partition_never_lowers_the_size_bound_and_heals(small: int) -> None:
     net = Network(seed=8)
     net.group(10, told=10)
     net.run_until(net.agree, 20)
@@ -220,7 +223,7 @@
     for node in net.living():
         same = len(ones) if node.name in ones else len(others)
         assert node.group.verdict.size.bound == 10
-        # Among two, whose probes all fail, judgements are slow: local health holds them back.
+        # In a partition of two all probes fail; the bad local health score then delays death declarations.
         assert same <= node.group.verdict.size.living <= (same if same > 2 else 4)
     net.heal()
     assert net.run_until(net.agree, 60) is not None
@@ -231,10 +234,10 @@
     assert net.wrong_deaths() == deaths
 
 
-# Members that are slow, gone, many, or back
+# Slow, dead, joining and restarted members
 
 
-def test_a_member_that_stands_still_for_two_seconds_and_one_at_a_tenth_are_not_buried() -> None:
+def test_stalled_member_and_slow_member_are_not_declared_dead() -> None:
     net = Network(seed=9)
     net.group(10)
     net.run_until(net.agree, 20)
@@ -245,7 +248,7 @@
     assert net.wrong_deaths() == 0
 
 
-def test_one_that_stood_still_accuses_nobody_for_it() -> None:
+def test_member_declares_nobody_dead_after_its_own_stall() -> None:
     net = Network(seed=9)
     net.group(10)
     net.run_until(net.agree, 20)
@@ -255,7 +258,7 @@
     assert not [one for _, one in net.nodes["m5"].news if one.after is Status.DEAD]
 
 
-def test_a_hundred_join_within_a_second() -> None:
+def test_hundred_members_joining_within_a_second_converge() -> None:
     net, names = Network(seed=10), [f"m{one}" for one in range(100)]
     keyring = quick_keyring(names)
     for at, name in enumerate(names):
@@ -266,7 +269,7 @@
     assert under_the_rate(net)
 
 
-def test_all_restart_at_once_under_the_same_names() -> None:
+def test_simultaneous_restart_of_all_members_converges() -> None:
     net = Network(seed=12)
     net.group(10)
     net.run_until(net.agree, 20)
@@ -278,8 +281,12 @@
     assert net.wrong_deaths() == 0
 
 
-def test_those_that_restarted_are_told_of_one_that_did_not_even_without_room_for_exchanges() -> None:
-    """Its pings went unanswered for ever: they had nowhere to answer to, and it thought they knew it."""
+def test_restarted_members_learn_of_one_that_kept_running_without_exchanges() -> None:
+    """The running member's pings must carry its record.
+
+    A restarted member has no address to answer to without that record. The running member regarded them as
+    introduced already, left its record out, and its pings stayed unanswered.
+    """
     net = Network(seed=12)
     net.group(3, rate=2000)
     net.run_until(net.agree, 20)
@@ -291,7 +298,7 @@
     assert net.run_until(net.agree, 30) is not None
 
 
-def test_one_that_restarts_with_its_clock_behind_comes_back() -> None:
+def test_member_restarted_with_its_clock_set_back_rejoins() -> None:
     net = Network(seed=12)
     net.group(5)
     net.run_until(net.agree, 20)
@@ -302,18 +309,18 @@
     assert net.run_until(net.agree, 150, 1.0) is not None
 
 
-def test_a_group_whose_seeds_are_all_gone_goes_on() -> None:
+def test_group_keeps_running_after_its_only_seed_has_died() -> None:
     net = Network(seed=13)
     net.group(8)
     net.run_until(net.agree, 20)
-    net.kill("m0")  # the one seed
+    net.kill("m0")  # the only seed
     net.run(60)
     alive = [f"m{one}" for one in range(1, 8)]
     assert all(net.status(one, other) is Status.ALIVE for one in alive for other in alive if one != other)
     assert all(net.status(one, "m0") is Status.DEAD for one in alive)
 
 
-def test_a_leave_lowers_the_bound_at_once_and_a_death_never_does() -> None:
+def test_leave_lowers_the_size_bound_at_once_and_death_does_not() -> None:
     net = Network(seed=14)
     net.group(6, told=6)
     net.run_until(net.agree, 20)
@@ -330,7 +337,7 @@
                 if one.name == "m5" and one.after in (Status.SUSPECT, Status.DEAD)]  # fmt: skip
 
 
-def test_clocks_thirty_seconds_apart_are_borne() -> None:
+def test_clocks_thirty_seconds_apart_are_tolerated() -> None:
     net, names = Network(seed=15), [f"m{one}" for one in range(6)]
     keyring = quick_keyring(names)
     for at, name in enumerate(names):
@@ -346,14 +353,14 @@
 
 
 def two_keys(names: list[str], both: list[str], old: str = "k1") -> Keyring:
-    """All have key ``old``, and those in ``both`` a second, k2."""
+    """Return a keyring with key ``old`` for all names and a second key, k2, for those in ``both``."""
     ring = quick_keyring(names, [old])
     for name in both:
         ring.keys[name]["k2"] = PublicKey(name, "k2", secret_of(name, "k2"))
     return ring
 
 
-def test_a_key_is_added_used_and_retired_with_no_member_lost() -> None:
+def test_key_rotation_loses_no_member() -> None:
     net, names = Network(seed=16), [f"m{one}" for one in range(6)]
     net.group(6)
     net.run_until(net.agree, 20)
@@ -371,7 +378,7 @@
     assert net.wrong_deaths() == 0 and net.agree()
 
 
-def test_who_still_uses_a_retired_key_is_lost_and_comes_back_with_a_good_one() -> None:
+def test_member_with_retired_key_is_declared_dead_and_rejoins_with_valid_key() -> None:
     net, names = Network(seed=17), [f"m{one}" for one in range(6)]
     net.group(6)
     net.run_until(net.agree, 20)
@@ -389,7 +396,7 @@
     assert net.run_until(net.agree, 60) is not None
 
 
-def test_what_is_kept_goes_with_members_keys_and_engines() -> None:
+def test_state_of_removed_members_keys_and_engines_is_dropped() -> None:
     net, names = Network(seed=18), [f"m{one}" for one in range(5)]
     net.group(5)
     net.run_until(net.agree, 20)
