--- a/micahold/membership/signing.py
+++ b/micahold/membership/signing.py
@@ -84,13 +84,13 @@
         return key_id, self._private_keys[key_id].sign(data) if data else b""
 
 
-class Ed25519Checker:
-    """A ``Checker`` that caches parsed public keys."""
+class Ed25519Verifier:
+    """A ``Verifier`` that caches parsed public keys."""
 
     def __init__(self) -> None:
         self._parsed_keys: dict[bytes, Ed25519PublicKey] = {}
 
-    def check(self, public: bytes, data: bytes, signature: bytes) -> bool:
+    def verify(self, public: bytes, data: bytes, signature: bytes) -> bool:
         """Return whether ``signature`` of ``data`` was made with the private key of ``public``."""
         key = self._parsed_keys.get(public)
         if key is None:
@@ -186,7 +186,7 @@
                 raise KeyFileError(f"{location} ({name}): key {key_id} is not an Ed25519 key") from None
             public_keys.append(PublicKey(name, key_id, raw_key, since, until))
     try:
-        return Keyring(public_keys, Ed25519Checker())
+        return Keyring(public_keys, Ed25519Verifier())
     except ValueError as error:
         raise KeyFileError(f"{path}: {error}") from None
 
--- a/tests/test_gossip_loopback.py
+++ b/tests/test_gossip_loopback.py
@@ -259,8 +259,8 @@
     hand = Hand(keys)
     assert hand.sign(1.5e9, b"")[0] == "k2" and hand.sign(0.5e9, b"")[0] == "k1"
     key, signature = hand.sign(1.5e9, b"text")
-    assert ring.accepts(1.5e9, "a", key, b"text", signature) is None
-    assert ring.accepts(1.5e9, "a", key, b"other", signature) == "bad_signature"
+    assert ring.signature_rejection(1.5e9, "a", key, b"text", signature) is None
+    assert ring.signature_rejection(1.5e9, "a", key, b"other", signature) == "bad_signature"
     assert keys[0].seed.hex() not in repr(keys[0])
 
 
--- a/tests/test_membership_network.py
+++ b/tests/test_membership_network.py
@@ -12,7 +12,7 @@
 from micahold.laboratory.gossip_network import Network, Node, QuickHand, quick_keyring, secret_of
 from micahold.membership.group import Datagram, Group
 from micahold.membership.keyring import Keyring, PublicKey
-from micahold.membership.roster import Status
+from micahold.membership.member_list import Status
 
 ENGINES = {f"e{one}" for one in range(16)}
 
@@ -76,8 +76,8 @@
     assert not believed(net, 20, lambda group: group.verdict.failing)
     for node in honest(net):
         for liar in (one for one in net.living() if one not in honest(net)):
-            voice = node.group.evidence.voices.get(liar.name)
-            assert voice is None or voice.believed(net.now + node.offset) < 0.5
+            voice = node.group.failure_reports.reporters.get(liar.name)
+            assert voice is None or voice.credibility_at(net.now + node.offset) < 0.5
     assert under_the_rate(net)
 
 
@@ -101,16 +101,16 @@
     net.run(10)
     for node in honest(net):
         assert "e3" in node.group.verdict.failing
-        assert node.group.evidence.voices["m9"].believed(net.now) < 0.5
+        assert node.group.failure_reports.reporters["m9"].credibility_at(net.now) < 0.5
 
 
 def test_equivocation_is_proven_to_all_members_and_the_liar_is_ignored() -> None:
     net = with_liars(1, liars.Equivocator)
     see(net, only={"m1", "m8"})
     net.run(15)
-    assert all("m9" in node.group.evidence.proofs for node in honest(net))
-    assert not any("m9" in node.group.evidence.voices for node in honest(net))
-    assert not [node for node in honest(net) if set(node.group.evidence.proofs) - {"m9"}]
+    assert all("m9" in node.group.failure_reports.equivocations for node in honest(net))
+    assert not any("m9" in node.group.failure_reports.reporters for node in honest(net))
+    assert not [node for node in honest(net) if set(node.group.failure_reports.equivocations) - {"m9"}]
 
 
 def test_false_drain_reports_of_one_member_have_no_effect() -> None:
@@ -131,7 +131,9 @@
     net = with_liars(1, liars.Accuser)
     net.run(60)
     assert net.wrong_deaths() == 0
-    assert not any(node.group.roster.believes(net.now, "m9") for node in honest(net) if node.name != "m9")
+    assert not any(
+        node.group.member_list.is_credible(net.now, "m9") for node in honest(net) if node.name != "m9"
+    )
     assert under_the_rate(net)
 
 
@@ -159,13 +161,13 @@
     net.group(4)
     net.run(10)
     group = net.nodes["m0"].group
-    before, checked = dict(group.roster.members), group.counts["signatures_checked"]
+    before, checked = dict(group.member_list.members), group.counts["signatures_checked"]
     mine = [one for one in kept if one[1].address == net.nodes["m0"].address]
     for at, (sender, datagram) in enumerate(mine):
         group.receive(net.now + 3600 + at, datagram.data, net.nodes[sender].address)
     assert group.counts["datagrams_time"] == len(mine) > 20
     assert group.counts["signatures_checked"] == checked
-    assert group.roster.members == before
+    assert group.member_list.members == before
     for sender, datagram in mine[-20:]:
         group.receive(net.now, datagram.data, net.nodes[sender].address)
     assert group.counts["datagrams_repeated"] == 20
@@ -191,7 +193,7 @@
             node.group.counts[f"datagrams_{why}"] for why in ("unreadable", "unknown_member", "unknown_key")
         )
         assert bad + node.group.counts["statements_bad_signature"] > 0
-        assert set(node.group.roster.members) == {f"m{one}" for one in range(6)} - {node.name}
+        assert set(node.group.member_list.members) == {f"m{one}" for one in range(6)} - {node.name}
 
 
 def test_death_is_detected_despite_members_that_relay_nothing_reordering_and_duplicates() -> None:
@@ -222,13 +224,13 @@
     net.run(60)
     for node in net.living():
         same = len(ones) if node.name in ones else len(others)
-        assert node.group.verdict.size.bound == 10
+        assert node.group.verdict.size.upper_bound == 10
         # In a partition of two all probes fail; the bad local health score then delays death declarations.
-        assert same <= node.group.verdict.size.living <= (same if same > 2 else 4)
+        assert same <= node.group.verdict.size.live <= (same if same > 2 else 4)
     net.heal()
     assert net.run_until(net.agree, 60) is not None
     net.run(1)
-    assert all(node.group.verdict.size.living == 10 for node in net.living())
+    assert all(node.group.verdict.size.live == 10 for node in net.living())
     deaths = net.wrong_deaths()
     net.run(60)
     assert net.wrong_deaths() == deaths
@@ -330,7 +332,7 @@
     net.kill("m5")
     net.kill("m4")
     net.run(60)
-    assert {(node.group.verdict.size.bound, node.group.verdict.size.living) for node in net.living()} == {
+    assert {(node.group.verdict.size.upper_bound, node.group.verdict.size.live) for node in net.living()} == {
         (5, 4)
     }
     assert not [one for node in net.living() for _, one in node.news
@@ -409,7 +411,7 @@
     group.reconfigure(net.now, group.options, group.signer, left)
     group.listed(net.now, {"e2"}, set())
     net.run(11)
-    assert set(group.roster.members) == {"m1", "m2"}
-    assert set(group.evidence.voices) <= {"m1", "m2"} and set(group.replay.senders) <= {"m1", "m2"}
-    assert set(group.evidence.sight.engines) <= {"e2"}
+    assert set(group.member_list.members) == {"m1", "m2"}
+    assert set(group.failure_reports.reporters) <= {"m1", "m2"} and set(group.replay.senders) <= {"m1", "m2"}
+    assert set(group.failure_reports.observations.engines) <= {"e2"}
     assert all(mark[0] in ("m0", "m1", "m2") for mark in group._checked)
--- a/tests/test_membership_wire.py
+++ b/tests/test_membership_wire.py
@@ -29,9 +29,9 @@
 
 def state(group: Group) -> list[object]:
     return [
-        [(one.name, one.record, one.status) for one in group.roster],
-        dict(group.evidence.voices),
-        dict(group.drains.heard),
+        [(one.name, one.record, one.status) for one in group.member_list],
+        dict(group.failure_reports.reporters),
+        dict(group.drain_reports.reported),
         group.record,
     ]
 
@@ -110,7 +110,7 @@
 
 def test_record_forged_in_the_name_of_another_member_is_rejected() -> None:
     group = converged_member(4)
-    record_before = group.roster.members["m2"].record
+    record_before = group.member_list.members["m2"].record
     forged_record = wire.Record(2**60, "10.9.9.9", 1, left=True)
     body = wire.encode(forged_record)
     signer = QuickHand("k1", secret_of("m1"))
@@ -118,7 +118,7 @@
     statement = Signed(Kind.RECORD, "m2", "k1", body, signer.sign(0.0, data)[1])
     packet = wire.Packet("m0", 2**62, 1, int(NOW * 1000), (), (statement,))
     group.receive(NOW, signed_by_m1(wire.encode(packet)), SOURCE_ADDRESS)
-    assert group.roster.members["m2"].record == record_before
+    assert group.member_list.members["m2"].record == record_before
     assert group.counts["statements_bad_signature"] == 1
 
 
