--- a/micahold/commands/keys.py
+++ b/micahold/commands/keys.py
@@ -12,12 +12,12 @@
 from micahold.membership.keyring import PublicKey
 from micahold.membership.signing import (
     KeyFileError,
-    OwnKey,
-    make_key,
-    read_members,
-    read_own,
-    write_members,
-    write_own,
+    SigningKey,
+    generate_key,
+    read_keyring,
+    read_signing_keys,
+    write_public_keys,
+    write_signing_keys,
 )
 from micahold.program import units
 
@@ -36,14 +36,14 @@
     """
 
 
-def _own(path: str) -> list[OwnKey]:
-    return read_own(path) if Path(path).exists() else []
+def _own(path: str) -> list[SigningKey]:
+    return read_signing_keys(path) if Path(path).exists() else []
 
 
 def _members(path: str) -> list[PublicKey]:
     if not Path(path).exists():
         return []
-    return [one for keys in read_members(path).keys.values() for one in keys.values()]
+    return [one for keys in read_keyring(path).keys.values() for one in keys.values()]
 
 
 def _fail(problem: KeyFileError) -> click.ClickException:
@@ -60,7 +60,7 @@
     """Make a key and add it to the member's own file, which only its owner can read."""
     try:
         keys = _own(own)
-        names = {one.key for one in keys}
+        names = {one.key_id for one in keys}
         chosen = name or next(f"k{at}" for at in range(1, len(keys) + 2) if f"k{at}" not in names)
         if chosen in names:
             raise KeyFileError(f"{own}: has a key {chosen} already")
@@ -71,7 +71,7 @@
                 until = (now + timedelta(seconds=units.duration(lasts))).timestamp()
             except ValueError as problem:
                 raise click.UsageError(f"--lasts: expected {problem}") from None
-        write_own(own, [*keys, make_key(chosen, now.timestamp() if keys else 0.0, until)])
+        write_signing_keys(own, [*keys, generate_key(chosen, now.timestamp() if keys else 0.0, until)])
     except KeyFileError as problem:
         raise _fail(problem) from None
     click.echo(f"{own}: key {chosen} made")
@@ -84,9 +84,9 @@
 def trust(own: str, members: str, name: str) -> None:
     """Put the public parts of a member's own keys into the file of all members."""
     try:
-        mine = [one.public(name) for one in read_own(own)]
+        mine = [one.public_key(name) for one in read_signing_keys(own)]
         others = [one for one in _members(members) if one.member != name]
-        write_members(members, [*others, *mine])
+        write_public_keys(members, [*others, *mine])
     except KeyFileError as problem:
         raise _fail(problem) from None
     click.echo(f"{members}: {name} with {len(mine)} keys")
@@ -106,12 +106,12 @@
         after = [one for one in before if one.member != name or (key is not None and one.key != key)]
         if len(after) == len(before):
             raise KeyFileError(f"{members}: no such key")
-        write_members(members, after)
+        write_public_keys(members, after)
         if own is not None and key is not None:
-            left = [one for one in read_own(own) if one.key != key]
+            left = [one for one in read_signing_keys(own) if one.key_id != key]
             if not left:
                 raise KeyFileError(f"{own}: {key} is its only key")
-            write_own(own, left)
+            write_signing_keys(own, left)
     except KeyFileError as problem:
         raise _fail(problem) from None
     click.echo(f"{members}: {len(before) - len(after)} retired")
--- a/micahold/commands/members.py
+++ b/micahold/commands/members.py
@@ -11,19 +11,19 @@
 import orjson
 
 from micahold.membership import wire
-from micahold.membership.signing import Hand, KeyFileError, read_own
+from micahold.membership.signing import Ed25519Signer, KeyFileError, read_signing_keys
 from micahold.program.operator_file import OperatorFileError, read_settings_file
 
 ANSWER_S, MOST_ANSWER = 5.0, 1 << 24
 
 
-def ask(address: tuple[str, int], name: str, hand: Hand) -> dict[str, Any]:
+def ask(address: tuple[str, int], name: str, hand: Ed25519Signer) -> dict[str, Any]:
     """The answer of the member at ``address``; ``OSError`` where it can't be had."""
     now = time.time()
-    body = wire.encode(wire.Packet(name, 0, 0, int(now * 1000), (wire.View(),), ()))
+    body = wire.encode(wire.Packet(name, 0, 0, int(now * 1000), (wire.ViewRequest(),), ()))
     key, _ = hand.sign(now, b"")
-    key, signature = hand.sign(now, wire.signed_bytes(wire.Kind.PACKET, name, key, body))
-    frame = wire.encode(wire.Signed(wire.Kind.PACKET, name, key, body, signature))
+    key, signature = hand.sign(now, wire.signed_bytes(wire.StatementKind.PACKET, name, key, body))
+    frame = wire.encode(wire.SignedStatement(wire.StatementKind.PACKET, name, key, body, signature))
     with socket.create_connection(address, ANSWER_S) as connection:
         connection.sendall(len(frame).to_bytes(4, "big") + frame)
         data = bytearray()
@@ -53,7 +53,7 @@
         if own is None:
             raise click.UsageError("the file says no name: --name is needed")
         address = gossip.listen
-        answer = ask(address, own, Hand(read_own(gossip.keys)))
+        answer = ask(address, own, Ed25519Signer(read_signing_keys(gossip.keys)))
     except (OperatorFileError, KeyFileError) as problem:
         raise click.ClickException(str(problem)) from None
     except OSError as problem:
--- a/micahold/laboratory/gossip_network.py
+++ b/micahold/laboratory/gossip_network.py
@@ -15,7 +15,7 @@
 from random import Random
 from typing import Any
 
-from micahold.membership.group import Address, Datagram, Group, Options
+from micahold.membership.group import Address, Datagram, Group, GroupOptions
 from micahold.membership.keyring import Keyring, PublicKey, Signer, Verifier
 from micahold.membership.member_list import Status, StatusChange
 
@@ -72,7 +72,7 @@
     seconds: Counter[int] = field(default_factory=Counter)  # bytes out by second
 
 
-GroupMaker = Callable[[Options, Signer, Keyring, float, int], Group]
+GroupMaker = Callable[[GroupOptions, Signer, Keyring, float, int], Group]
 
 
 class Network:
@@ -116,7 +116,7 @@
         """Start a member, or start it again under the same name and address."""
         before = self.nodes.get(name)
         address = before.address if before is not None else self.address(name)
-        told = Options(name=name, address=address, seeds=tuple(seeds), **options)
+        told = GroupOptions(name=name, address=address, seeds=tuple(seeds), **options)
         hand = signer or QuickHand("k1", secret_of(name))
         group = maker(told, hand, keyring, self.now + offset, self.random.getrandbits(60))
         node = Node(name, address, group, offset)
@@ -153,7 +153,7 @@
             node.group.dissemination.statements.clear()
             for member in node.group.member_list:
                 member.last_heard = self.now
-            node.group._seed_at += 60.0
+            node.group._next_seed_at += 60.0
 
     def kill(self, name: str) -> None:
         """Gone without a word."""
@@ -230,15 +230,15 @@
             for datagram in sent:
                 for one in self.tap(node.name, datagram) if self.tap else (datagram,):
                     self.send(node, one)
-        if group.exchanges:
-            wanted, group.exchanges = group.exchanges, []
+        if group.exchange_targets:
+            wanted, group.exchange_targets = group.exchange_targets, []
             for name, address in wanted:
-                first = group.exchange(self.now + node.offset, name)
+                first = group.begin_exchange(self.now + node.offset, name)
                 if first is not None:
                     self._frame(node, address, first)
-        if group.news:
-            node.news += [(self.now, one) for one in group.news]
-            group.news.clear()
+        if group.status_changes:
+            node.news += [(self.now, one) for one in group.status_changes]
+            group.status_changes.clear()
         self._schedule(node)
 
     # Delivery
@@ -275,7 +275,7 @@
     def _take_frame(self, name: str, data: bytes, sender: str) -> None:
         node, source = self.nodes[name], self.nodes[sender]
         if node.up and self._ready(node, self._take_frame, name, data, sender):
-            answers = node.group.frame(self.now + node.offset, data, (source.address[0], 0))
+            answers = node.group.handle_frame(self.now + node.offset, data, (source.address[0], 0))
             for answer in answers:
                 self._frame(node, source.address, answer)
             self._after(node)
--- a/micahold/laboratory/gossip_trial.py
+++ b/micahold/laboratory/gossip_trial.py
@@ -18,7 +18,7 @@
 from micahold.laboratory.hearsay_model import HEARSAY, RULES_COMPARED, Fleet
 from micahold.membership.keyring import Keyring
 from micahold.membership.member_list import Status
-from micahold.membership.signing import Ed25519Verifier, Hand, make_key
+from micahold.membership.signing import Ed25519Signer, Ed25519Verifier, generate_key
 
 REST_S = 10.0
 
@@ -283,11 +283,11 @@
 def cpu(members: int = 20, seconds: float = 30.0, seed: int = 1) -> Table:
     """CPU with real signatures, all members in this process; the network in virtual time is part of it."""
     names = [f"m{one}" for one in range(members)]
-    keys = {name: make_key("k1") for name in names}
+    keys = {name: generate_key("k1") for name in names}
     net = Network(seed=seed)
-    ring = Keyring([keys[name].public(name) for name in names], Ed25519Verifier())
+    ring = Keyring([keys[name].public_key(name) for name in names], Ed25519Verifier())
     for name in names:
-        net.add(name, ring, [("10.0.0.0", 7946)], signer=Hand([keys[name]]))
+        net.add(name, ring, [("10.0.0.0", 7946)], signer=Ed25519Signer([keys[name]]))
     net.run(REST_S)
     counted = sum(node.group.counts["signatures_checked"] for node in net.living())
     begun = time.process_time()
--- a/micahold/laboratory/hearsay_model.py
+++ b/micahold/laboratory/hearsay_model.py
@@ -176,12 +176,15 @@
         self.net = Network(seed=seed)
         honest = gateways - liars
         nodes = self.net.group(
-            gateways, lambda name: Group if int(name[1:]) < honest else liar, warm=True, told=gateways
+            gateways,
+            lambda name: Group if int(name[1:]) < honest else liar,
+            warm=True,
+            configured_gateways=gateways,
         )
         entries = tuple(api.EngineEntry(one) for one in self.engines)
         self.gateways_ = [Gateway(self, node, at) for at, node in enumerate(nodes[:honest])]
         for node in nodes[honest:]:
-            node.group.listed(self.net.now, set(self.engines), set())
+            node.group.update_engine_list(self.net.now, set(self.engines), set())
         for one in self.gateways_:
             one.tell(api.ListUpdate(api.ListKind.RESTORED, 1, entries))
             self.net.at(self.net.now + one.random.expovariate(rate), one.ask)
@@ -199,7 +202,7 @@
             if self.failing and self._ever(seen) == len(self.gateways_) and self.tally.everybody is None:
                 self.tally.everybody, self.tally.lost_before_all = passed, self.tally.met_errors
             for one in self.gateways_:
-                if one.node.group.verdict.failing - {self.failing}:
+                if one.node.group.snapshot.failing - {self.failing}:
                     self.tally.told_s += step
                     self.tally.told_until = passed
                 for engine in self.engines:
--- a/micahold/laboratory/liars.py
+++ b/micahold/laboratory/liars.py
@@ -6,7 +6,7 @@
 from micahold.membership.dissemination import QueuedStatement
 from micahold.membership.group import Datagram, Group
 from micahold.membership.traffic import Priority
-from micahold.membership.wire import Kind
+from micahold.membership.wire import StatementKind
 
 FORGED_ATTEMPTS = 50
 
@@ -16,14 +16,14 @@
 
     failures = FORGED_ATTEMPTS
 
-    def _testify(self, now: float) -> None:
-        names = sorted(self.engines)
+    def _report_failures(self, now: float) -> None:
+        names = sorted(self.up_engines)
         self.random.shuffle(names)
-        rows = tuple((one, FORGED_ATTEMPTS, self.failures) for one in names[: wire.MOST_ROWS])
+        rows = tuple((one, FORGED_ATTEMPTS, self.failures) for one in names[: wire.MAX_ENGINES_PER_STATEMENT])
         if rows:
-            self.testimonies += 1
-            said = wire.Testimony(self.run, self.testimonies, int(now * 1000), 5000, rows)
-            signed = self._sign(now, Kind.TESTIMONY, said)
+            self.report_sequence += 1
+            said = wire.FailureReport(self.run, self.report_sequence, int(now * 1000), 5000, rows)
+            signed = self._sign(now, StatementKind.FAILURE_REPORT, said)
             self.dissemination.add(("testimony", self.options.name), signed, Priority.OWN)
 
 
@@ -36,20 +36,20 @@
 class Drainer(Group):
     """Says of every engine that it drains."""
 
-    def _testify(self, now: float) -> None:
-        names = tuple(sorted(self.engines)[: wire.MOST_ROWS])
-        signed = self._sign(now, Kind.DRAINS, wire.Drains(int(now * 1000), names))
+    def _report_failures(self, now: float) -> None:
+        names = tuple(sorted(self.up_engines)[: wire.MAX_ENGINES_PER_STATEMENT])
+        signed = self._sign(now, StatementKind.DRAIN_REPORT, wire.DrainReport(int(now * 1000), names))
         self.dissemination.add(("drains", self.options.name), signed, Priority.OWN)
 
 
 class Accuser(Group):
     """Accuses every member, each second."""
 
-    def _testify(self, now: float) -> None:
+    def _report_failures(self, now: float) -> None:
         for member in list(self.member_list):
-            said = wire.Accusation(member.name, member.record.incarnation, int(now * 1000))
+            said = wire.SuspicionReport(member.name, member.record.incarnation, int(now * 1000))
             key = ("accusation", member.name, self.options.name, member.record.incarnation)
-            self.dissemination.add(key, self._sign(now, Kind.ACCUSATION, said), Priority.OWN)
+            self.dissemination.add(key, self._sign(now, StatementKind.SUSPICION_REPORT, said), Priority.OWN)
 
 
 class Equivocator(Slanderer):
@@ -57,17 +57,19 @@
     don't.
     """
 
-    def _packet_bytes(self, now, name, messages, items):  # type: ignore[no-untyped-def]
+    def _encode_packet(self, now, name, messages, items):  # type: ignore[no-untyped-def]
         other = [self._other_word(now, one) if name > "m5" else one for one in items]
-        return super()._packet_bytes(now, name, messages, other)
+        return super()._encode_packet(now, name, messages, other)
 
-    def _other_word(self, now: float, signed: wire.Signed) -> wire.Signed:
-        if signed.kind != Kind.TESTIMONY or signed.origin != self.options.name:
+    def _other_word(self, now: float, signed: wire.SignedStatement) -> wire.SignedStatement:
+        if signed.kind != StatementKind.FAILURE_REPORT or signed.origin != self.options.name:
             return signed
-        said = wire.decode_body(signed, wire.Testimony)
+        said = wire.decode_body(signed, wire.FailureReport)
         rows = tuple((engine, attempts, 0) for engine, attempts, _ in said.rows)
         return self._sign(
-            now, Kind.TESTIMONY, wire.Testimony(said.run, said.sequence, said.at, said.window, rows)
+            now,
+            StatementKind.FAILURE_REPORT,
+            wire.FailureReport(said.run, said.sequence, said.at_ms, said.window_ms, rows),
         )
 
 
@@ -76,18 +78,18 @@
 
     victim, datagrams = "m0", 400
 
-    def _gossip(self, now: float) -> None:
-        super()._gossip(now)
+    def _send_gossip(self, now: float) -> None:
+        super()._send_gossip(now)
         member = self.member_list.members.get(self.victim)
         if member is not None:
             for _ in range(self.datagrams // 5):
-                data = self._packet_bytes(now, self.victim, (wire.Ping(1),), [self.own_record] * 6)
+                data = self._encode_packet(now, self.victim, (wire.Ping(1),), [self.own_record] * 6)
                 self.outbox.append(Datagram(member.address, data))
 
 
 class Withholder(Group):
     """Passes nothing on that others said."""
 
-    def _riders(self, now: float, level: Priority, name: str, taken: int) -> list[QueuedStatement]:
+    def _select_piggyback(self, now: float, level: Priority, name: str, taken: int) -> list[QueuedStatement]:
         own = self.options.name
-        return [one for one in super()._riders(now, level, name, taken) if one.signed.origin == own]
+        return [one for one in super()._select_piggyback(now, level, name, taken) if one.signed.origin == own]
--- a/micahold/laboratory/lying_peer.py
+++ b/micahold/laboratory/lying_peer.py
@@ -13,7 +13,7 @@
 from twisted.internet import reactor as twisted_reactor
 
 from micahold.laboratory.liars import Slanderer
-from micahold.membership.service import Gossip
+from micahold.membership.service import GossipService
 from micahold.program.operator import group_options, read_settings_and_keys
 
 LASTS_S = 60.0
@@ -25,9 +25,11 @@
     assert settings.gossip is not None and hand is not None and keyring is not None
     reactor: Any = twisted_reactor
     group = Slanderer(group_options(settings.gossip, name, 1), hand, keyring, time.time(), 1)
-    peer = Gossip(reactor, time.time, group, settings.gossip.listen, lambda *_, **__: None, lambda _: None)
+    peer = GossipService(
+        reactor, time.time, group, settings.gossip.listen, lambda *_, **__: None, lambda _: None
+    )
     peer.start()
-    group.listed(time.time(), set(engines), set())
+    group.update_engine_list(time.time(), set(engines), set())
     reactor.callLater(LASTS_S, reactor.stop)
     reactor.run()
 
--- a/micahold/membership/dissemination.py
+++ b/micahold/membership/dissemination.py
@@ -12,7 +12,7 @@
 from math import ceil, log10
 
 from micahold.membership.traffic import Priority
-from micahold.membership.wire import Signed
+from micahold.membership.wire import SignedStatement
 
 RETRANSMIT_MULTIPLIER = 4  # times log10(n + 1)
 MAX_QUEUED_STATEMENTS = 2048
@@ -28,7 +28,7 @@
     """A statement that still has to go out."""
 
     key: Hashable
-    signed: Signed
+    signed: SignedStatement
     priority: Priority
     transmissions: int = 0
 
@@ -40,7 +40,7 @@
         self.statements: dict[Hashable, QueuedStatement] = {}
         self._lines: dict[tuple[int, int], dict[Hashable, QueuedStatement]] = {}
 
-    def add(self, key: Hashable, signed: Signed, priority: Priority) -> None:
+    def add(self, key: Hashable, signed: SignedStatement, priority: Priority) -> None:
         """Queue a statement; one that is queued already changes nothing."""
         before = self.statements.get(key)
         if before is not None:
@@ -52,7 +52,7 @@
             # The least of them: lowest level, most often sent, oldest.
             self._remove(next(iter(self._lines[max(self._lines)].values())))
 
-    def count_duplicate(self, key: Hashable, signed: Signed) -> None:
+    def count_duplicate(self, key: Hashable, signed: SignedStatement) -> None:
         """Somebody told it to us, who know it: one member more has it, so it counts as sent once.
 
         After the feedback of Demers and others (1987): news that everybody has stops by itself. Not so with
@@ -100,7 +100,7 @@
             if priority > lowest:
                 break
             for one in reversed(self._lines[priority, sent].values()):
-                length = one.signed.length()
+                length = one.signed.size_bound()
                 if length <= available_bytes and one.signed.origin != receiver:
                     available_bytes -= length
                     picked.append(one)
--- a/micahold/membership/failure_reports.py
+++ b/micahold/membership/failure_reports.py
@@ -15,7 +15,7 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from micahold.membership.wire import MOST_ROWS, Row, Signed, Testimony
+from micahold.membership.wire import MAX_ENGINES_PER_STATEMENT, AttemptCounts, FailureReport, SignedStatement
 
 WINDOW_S = 5  # of own attempts, in whole seconds
 BAD_SHARE, GOOD_SHARE = (
@@ -96,8 +96,8 @@
     reported_at: float = -1e9  # when its latest testimony was made, by our clock
     run: int = 0
     sequence: int = -1
-    rows: tuple[Row, ...] = ()
-    recent_statements: deque[tuple[int, int, Signed]] = field(
+    rows: tuple[AttemptCounts, ...] = ()
+    recent_statements: deque[tuple[int, int, SignedStatement]] = field(
         default_factory=lambda: deque(maxlen=KEPT_SEQUENCES)
     )
 
@@ -114,9 +114,11 @@
     def __init__(self) -> None:
         self.observations = LocalObservations()
         self.reporters: dict[str, Reporter] = {}
-        self.equivocations: dict[str, tuple[Signed, Signed]] = {}
+        self.equivocations: dict[str, tuple[SignedStatement, SignedStatement]] = {}
 
-    def add_report(self, now: float, signed: Signed, testimony: Testimony, made_at: float) -> bool:
+    def add_report(
+        self, now: float, signed: SignedStatement, testimony: FailureReport, made_at: float
+    ) -> bool:
         """A testimony whose signature is good, made at ``made`` by our clock; True where it was news.
 
         Its time is judged by the caller; an older sequence than the last changes nothing but may prove a lie.
@@ -142,7 +144,7 @@
             voice.reduce_credibility(now)
         return True
 
-    def _contradicts(self, now: float, origin: str, rows: Iterable[Row]) -> bool:
+    def _contradicts(self, now: float, origin: str, rows: Iterable[AttemptCounts]) -> bool:
         """Whether any row says the opposite of our own sight, or of a clear majority of the others."""
         opposite = {Assessment.BAD: Assessment.GOOD, Assessment.GOOD: Assessment.BAD}
         for engine, attempts, failures in rows:
@@ -209,14 +211,14 @@
         most = max(1, int(len(listed) * MOST_PART))
         return frozenset(engine for _, _, engine in sorted(found)[:most])
 
-    def rows_to_report(self, now: float, listed: set[str], live_members: int) -> tuple[Row, ...]:
+    def rows_to_report(self, now: float, listed: set[str], live_members: int) -> tuple[AttemptCounts, ...]:
         """What is worth saying: own bad words, and own good ones where others say bad.
 
         Of an engine on which enough members said the same already nothing more is said: in a large group that
         keeps the traffic of one failing engine from growing with the members.
         """
         enough = 2 * quorum(live_members)
-        rows: list[tuple[float, Row]] = []
+        rows: list[tuple[float, AttemptCounts]] = []
         for engine in self.observations.engines:
             if engine not in listed:
                 continue
@@ -227,7 +229,7 @@
             like, unlike = self.count_reporters(now, engine, said)
             if like < enough and (said is Assessment.BAD or unlike):
                 rows.append((-failures / attempts, (engine, min(attempts, 10**6), min(failures, 10**6))))
-        return tuple(row for _, row in sorted(rows)[:MOST_ROWS])
+        return tuple(row for _, row in sorted(rows)[:MAX_ENGINES_PER_STATEMENT])
 
     def retain(self, now: float, names: set[str], engines: set[str]) -> None:
         """What is kept of members and engines goes with them."""
--- a/micahold/membership/member_list.py
+++ b/micahold/membership/member_list.py
@@ -25,7 +25,7 @@
 from hashlib import blake2b
 from math import inf, log, log10
 
-from micahold.membership.wire import Accusation, Record, Signed
+from micahold.membership.wire import MemberRecord, SignedStatement, SuspicionReport
 
 MIN_SUSPICION_PERIODS, MAX_SUSPICION_FACTOR = 5.0, 6.0  # periods times log10(n); that times the least
 SUSPICION_CONFIRMATIONS = 3
@@ -63,9 +63,9 @@
     max_timeout_s: float
     confirmations_needed: int
     expires_at: float = inf
-    accusers: dict[str, Signed] = field(default_factory=dict)
+    accusers: dict[str, SignedStatement] = field(default_factory=dict)
 
-    def confirm(self, accuser: str, signed: Signed) -> bool:
+    def confirm(self, accuser: str, signed: SignedStatement) -> bool:
         """True where this accuser is new."""
         if accuser in self.accusers or len(self.accusers) >= MAX_ACCUSERS:
             return False
@@ -84,8 +84,8 @@
     """Another member, by its newest record."""
 
     name: str
-    signed: Signed
-    record: Record
+    signed: SignedStatement
+    record: MemberRecord
     status: Status = Status.ALIVE
     status_since: float = 0.0
     last_heard: float = -inf  # its own last datagram to us
@@ -113,7 +113,7 @@
         self.score, self.at = self.score_at(now) + 1.0, now
 
 
-def record_digest(name: str, record: Record) -> int:
+def record_digest(name: str, record: MemberRecord) -> int:
     text = f"{name}\0{record.incarnation}\0{record.left:d}".encode()
     return int.from_bytes(blake2b(text, digest_size=8).digest(), "big")
 
@@ -175,7 +175,9 @@
                 member.suspicion = None
         return [StatusChange(member.name, before, after, reason)] if before is not after else []
 
-    def apply_record(self, now: float, signed: Signed, record: Record) -> tuple[bool, list[StatusChange]]:
+    def apply_record(
+        self, now: float, signed: SignedStatement, record: MemberRecord
+    ) -> tuple[bool, list[StatusChange]]:
         """A record of another member, its signature checked; whether it was news, and what changed."""
         name = signed.origin
         after = Status.LEFT if record.left else Status.ALIVE
@@ -198,7 +200,7 @@
         return True, self._turn(now, known, after, reason)
 
     def apply_accusation(
-        self, now: float, signed: Signed, accusation: Accusation
+        self, now: float, signed: SignedStatement, accusation: SuspicionReport
     ) -> tuple[bool, list[StatusChange]]:
         """An accusation of another member, its signature checked; whether it was news, and what changed."""
         accuser, member = signed.origin, self.members.get(accusation.subject)
@@ -269,7 +271,7 @@
 
     # Full exchange
 
-    def bucket_digests(self, own: tuple[str, Record]) -> bytes:
+    def bucket_digests(self, own: tuple[str, MemberRecord]) -> bytes:
         """A digest of eight bytes for each bucket of names, this member's own record included."""
         sums = [0] * BUCKET_COUNT
         for member in self.members.values():
@@ -277,9 +279,9 @@
         sums[name_bucket(own[0])] ^= record_digest(*own)
         return b"".join(one.to_bytes(8, "big") for one in sums)
 
-    def statements_in(self, buckets: Iterable[int]) -> list[Signed]:
+    def statements_in(self, buckets: Iterable[int]) -> list[SignedStatement]:
         """Records and accusations of these buckets, in the order of the buckets."""
-        wanted: dict[int, list[Signed]] = {one: [] for one in buckets}
+        wanted: dict[int, list[SignedStatement]] = {one: [] for one in buckets}
         for member in self.members.values():
             if member.bucket in wanted:
                 wanted[member.bucket].append(member.signed)
--- a/micahold/membership/service.py
+++ b/micahold/membership/service.py
@@ -16,31 +16,31 @@
 
 from micahold import interface as api
 from micahold.membership.controller_adapter import ControllerAdapter
-from micahold.membership.group import Address, Group, Options
+from micahold.membership.group import Address, Group, GroupOptions
 from micahold.membership.keyring import Keyring, Signer
-from micahold.membership.wire import MOST_FRAME
+from micahold.membership.wire import MAX_FRAME_BYTES
 
-MOST_CONNECTIONS = 16
-CONNECTION_S, CONNECT_S = 5.0, 2.0
-LEAST_WAIT_S = 0.002
+MAX_CONNECTIONS = 16
+EXCHANGE_TIMEOUT_S, CONNECT_TIMEOUT_S = 5.0, 2.0
+MIN_TIMER_DELAY_S = 0.002
 
 
 class ExchangeConnection(Int32StringReceiver):
     """One full exchange, from either end; ``first`` is what the end that asked begins with."""
 
-    MAX_LENGTH = MOST_FRAME
+    MAX_LENGTH = MAX_FRAME_BYTES
     transport: Any
 
-    def __init__(self, service: Gossip, first: bytes | None = None) -> None:
+    def __init__(self, service: GossipService, first: bytes | None = None) -> None:
         self.service, self.first = service, first
         self._limit: Any = None
 
     def connectionMade(self) -> None:
         self.service.connections += 1
-        self._limit = self.service.clock.callLater(CONNECTION_S, self.transport.abortConnection)
+        self._limit = self.service.clock.callLater(EXCHANGE_TIMEOUT_S, self.transport.abortConnection)
         if self.first is not None:
             self._say(self.first)
-        elif self.service.connections > MOST_CONNECTIONS:
+        elif self.service.connections > MAX_CONNECTIONS:
             self.service.group.counts["connections_turned_away"] += 1
             self.transport.abortConnection()
 
@@ -69,24 +69,24 @@
             self._limit.cancel()
 
 
-class ExchangeListener(protocol.ServerFactory):
+class ExchangeServerFactory(protocol.ServerFactory):
     """Takes full exchanges that other members begin."""
 
     noisy = False
 
-    def __init__(self, service: Gossip) -> None:
+    def __init__(self, service: GossipService) -> None:
         self.service = service
 
     def buildProtocol(self, addr: Any) -> ExchangeConnection:
         return ExchangeConnection(self.service)
 
 
-class ExchangeBegin(protocol.ClientFactory):
+class ExchangeClientFactory(protocol.ClientFactory):
     """Begins one."""
 
     noisy = False
 
-    def __init__(self, service: Gossip, first: bytes) -> None:
+    def __init__(self, service: GossipService, first: bytes) -> None:
         self.service, self.first = service, first
 
     def buildProtocol(self, addr: Any) -> ExchangeConnection:
@@ -96,7 +96,7 @@
         self.service.group.counts["exchanges_failed"] += 1
 
 
-class Gossip(protocol.DatagramProtocol):
+class GossipService(protocol.DatagramProtocol):
     """``tell`` gets events for the decisions; ``observe`` is handed those that the exchange tells."""
 
     noisy = False
@@ -128,7 +128,7 @@
         host, port = self.listen
         self._udp = self.clock.listenUDP(port, self, interface=host)
         try:
-            self._tcp = self.clock.listenTCP(port, ExchangeListener(self), interface=host)
+            self._tcp = self.clock.listenTCP(port, ExchangeServerFactory(self), interface=host)
         except error.CannotListenError:
             self._udp.stopListening()
             raise
@@ -147,7 +147,7 @@
             if port is not None:
                 port.stopListening()
 
-    def reconfigure(self, options: Options, hand: Signer, keyring: Keyring, hearsay: bool) -> None:
+    def reconfigure(self, options: GroupOptions, hand: Signer, keyring: Keyring, hearsay: bool) -> None:
         """Take over what may change in service."""
         self.adapter.share_reports = hearsay
         self.group.reconfigure(self.now(), options, hand, keyring)
@@ -176,9 +176,9 @@
     def frame(self, data: bytes, host: str) -> tuple[list[bytes], bool]:
         """Answers to a frame, and whether the connection ends with them."""
         now = self.now()
-        if self.group.asked_by_own(now, data):
+        if self.group.is_own_view_request(now, data):
             return [orjson.dumps(self.group.view(now))], True
-        answers = self.group.frame(now, data, (host, 0))
+        answers = self.group.handle_frame(now, data, (host, 0))
         self._after()
         return answers, False
 
@@ -208,14 +208,16 @@
                     self.transport.write(datagram.data, datagram.address)
                 except (OSError, error.MessageLengthError, error.InvalidAddressError, AttributeError):
                     group.counts["datagrams_unsent"] += 1
-        if group.exchanges:
-            wanted, group.exchanges = group.exchanges, []
+        if group.exchange_targets:
+            wanted, group.exchange_targets = group.exchange_targets, []
             for name, (host, port) in wanted:
-                first = group.exchange(self.now(), name) if self.connections < MOST_CONNECTIONS else None
+                first = group.begin_exchange(self.now(), name) if self.connections < MAX_CONNECTIONS else None
                 if first is not None:
-                    self.clock.connectTCP(host, port, ExchangeBegin(self, first), timeout=CONNECT_S)
-        if group.news:
-            news, group.news = group.news, []
+                    self.clock.connectTCP(
+                        host, port, ExchangeClientFactory(self, first), timeout=CONNECT_TIMEOUT_S
+                    )
+        if group.status_changes:
+            news, group.status_changes = group.status_changes, []
             for one in news:
                 before = one.before.value if one.before is not None else None
                 self.log("member", name=one.name, before=before, now=one.after.value, why=one.reason)
@@ -226,9 +228,9 @@
     def _wake(self) -> None:
         if self._stopped:
             return
-        wait = max(LEAST_WAIT_S, self.group.due() - self.now())
+        wait = max(MIN_TIMER_DELAY_S, self.group.due() - self.now())
         if self._call is not None and self._call.active():
-            if self._call.getTime() <= self.clock.seconds() + wait + LEAST_WAIT_S:
+            if self._call.getTime() <= self.clock.seconds() + wait + MIN_TIMER_DELAY_S:
                 return
             self._call.cancel()
         self._call = self.clock.callLater(wait, self._tick)
--- a/micahold/membership/signing.py
+++ b/micahold/membership/signing.py
@@ -24,9 +24,9 @@
 
 from micahold.membership.keyring import Keyring, PublicKey
 
-MOST_BYTES = 1 << 20  # size of a key file
-MOST_PUBLIC = 8192  # parsed public keys that are cached
-SEXP_ERRORS = (sexpdata.ExpectNothing, sexpdata.ExpectSExp, sexpdata.ExpectClosingBracket)
+MAX_KEY_FILE_BYTES = 1 << 20  # size of a key file
+MAX_CACHED_KEYS = 8192  # parsed public keys that are cached
+SEXP_SYNTAX_ERRORS = (sexpdata.ExpectNothing, sexpdata.ExpectSExp, sexpdata.ExpectClosingBracket)
 
 
 class KeyFileError(Exception):
@@ -34,53 +34,53 @@
 
 
 @dataclass(slots=True, frozen=True)
-class OwnKey:
+class SigningKey:
     """One of this member's own keys; ``seed`` is secret and left out of the representation.
 
     The key is valid from ``since`` until before ``until``, in Unix seconds.
     """
 
-    key: str
+    key_id: str
     seed: bytes
     since: float = 0.0
     until: float = float("inf")
 
     def __repr__(self) -> str:
-        return f"OwnKey({self.key!r})"
+        return f"SigningKey({self.key_id!r})"
 
-    def private(self) -> Ed25519PrivateKey:
+    def private_key(self) -> Ed25519PrivateKey:
         """Return the private key that the seed defines."""
         return Ed25519PrivateKey.from_private_bytes(self.seed)
 
-    def public(self, member: str) -> PublicKey:
+    def public_key(self, member: str) -> PublicKey:
         """Return the public key of this pair, bound to the name ``member``."""
-        raw = self.private().public_key().public_bytes(Encoding.Raw, PublicFormat.Raw)
-        return PublicKey(member, self.key, raw, self.since, self.until)
+        raw = self.private_key().public_key().public_bytes(Encoding.Raw, PublicFormat.Raw)
+        return PublicKey(member, self.key_id, raw, self.since, self.until)
 
 
-def make_key(key: str, since: float = 0.0, until: float = float("inf")) -> OwnKey:
+def generate_key(key_id: str, since: float = 0.0, until: float = float("inf")) -> SigningKey:
     """Generate a key from the operating system's random number generator."""
     seed = Ed25519PrivateKey.generate().private_bytes(Encoding.Raw, PrivateFormat.Raw, NoEncryption())
-    return OwnKey(key, seed, since, until)
+    return SigningKey(key_id, seed, since, until)
 
 
-class Hand:
+class Ed25519Signer:
     """A ``Signer`` that signs with the valid key of the latest ``since``.
 
     If no key is valid at the time, the key of the latest ``since`` signs. The constructor raises
     ``KeyFileError`` if there are no keys.
     """
 
-    def __init__(self, keys: Iterable[OwnKey]) -> None:
-        self.keys = sorted(keys, key=lambda own_key: (own_key.since, own_key.key))
+    def __init__(self, keys: Iterable[SigningKey]) -> None:
+        self.keys = sorted(keys, key=lambda signing_key: (signing_key.since, signing_key.key_id))
         if not self.keys:
             raise KeyFileError("the member has no key of its own")
-        self._private_keys = {own_key.key: own_key.private() for own_key in self.keys}
+        self._private_keys = {signing_key.key_id: signing_key.private_key() for signing_key in self.keys}
 
     def sign(self, now: float, data: bytes) -> tuple[str, bytes]:
         """Return the id of the signing key and the signature, which is empty for empty ``data``."""
-        valid = [own_key for own_key in self.keys if own_key.since <= now < own_key.until]
-        key_id = (valid or self.keys)[-1].key
+        valid = [signing_key for signing_key in self.keys if signing_key.since <= now < signing_key.until]
+        key_id = (valid or self.keys)[-1].key_id
         return key_id, self._private_keys[key_id].sign(data) if data else b""
 
 
@@ -94,7 +94,7 @@
         """Return whether ``signature`` of ``data`` was made with the private key of ``public``."""
         key = self._parsed_keys.get(public)
         if key is None:
-            if len(self._parsed_keys) >= MOST_PUBLIC:
+            if len(self._parsed_keys) >= MAX_CACHED_KEYS:
                 self._parsed_keys.clear()
             key = self._parsed_keys[public] = Ed25519PublicKey.from_public_bytes(public)
         try:
@@ -111,12 +111,12 @@
     """Return the S-expressions of a file; raise ``KeyFileError`` if it cannot be read or parsed."""
     try:
         data = Path(path).read_bytes()
-        if len(data) > MOST_BYTES:
-            raise KeyFileError(f"{path}: more than {MOST_BYTES} bytes")
+        if len(data) > MAX_KEY_FILE_BYTES:
+            raise KeyFileError(f"{path}: more than {MAX_KEY_FILE_BYTES} bytes")
         expressions: list[Any] = sexpdata.parse(data.decode())
     except OSError as error:
         raise KeyFileError(f"{path}: cannot be read: {error.strerror}") from None
-    except (ValueError, AssertionError, IndexError, *SEXP_ERRORS):
+    except (ValueError, AssertionError, IndexError, *SEXP_SYNTAX_ERRORS):
         raise KeyFileError(f"{path}: cannot be parsed as S-expressions") from None
     return expressions
 
@@ -154,20 +154,20 @@
         raise KeyFileError(f"{location}: bad key: {error}") from None
 
 
-def read_own(path: str) -> list[OwnKey]:
+def read_signing_keys(path: str) -> list[SigningKey]:
     """Read this member's own keys, in the order of the file; raise ``KeyFileError`` if it cannot be used."""
-    own_keys = [
-        OwnKey(*_parse_key(expression, f"{path}: entry {index + 1}"))
+    signing_keys = [
+        SigningKey(*_parse_key(expression, f"{path}: entry {index + 1}"))
         for index, expression in enumerate(_read_expressions(path))
     ]
-    if not own_keys:
+    if not signing_keys:
         raise KeyFileError(f"{path}: holds no key")
-    if len({own_key.key for own_key in own_keys}) < len(own_keys):
+    if len({signing_key.key_id for signing_key in signing_keys}) < len(signing_keys):
         raise KeyFileError(f"{path}: holds a key id twice")
-    return own_keys
+    return signing_keys
 
 
-def read_members(path: str) -> Keyring:
+def read_keyring(path: str) -> Keyring:
     """Read the public keys of all members; raise ``KeyFileError`` if the file cannot be used."""
     public_keys: list[PublicKey] = []
     for index, expression in enumerate(_read_expressions(path)):
@@ -216,13 +216,16 @@
     os.replace(temporary_path, path)
 
 
-def write_own(path: str, keys: Iterable[OwnKey]) -> None:
+def write_signing_keys(path: str, keys: Iterable[SigningKey]) -> None:
     """Write a member's own keys to a file that only its owner can read."""
-    lines = [_format_key(own_key.key, own_key.seed, own_key.since, own_key.until) for own_key in keys]
+    lines = [
+        _format_key(signing_key.key_id, signing_key.seed, signing_key.since, signing_key.until)
+        for signing_key in keys
+    ]
     _write_atomically(path, "; secret: this member's own keys\n" + "\n".join(lines) + "\n", 0o600)
 
 
-def write_members(path: str, keys: Iterable[PublicKey]) -> None:
+def write_public_keys(path: str, keys: Iterable[PublicKey]) -> None:
     """Write the public keys of all members, sorted by member name."""
     keys_by_member: dict[str, list[PublicKey]] = {}
     for public_key in keys:
--- a/micahold/program/operator.py
+++ b/micahold/program/operator.py
@@ -6,30 +6,34 @@
 from dataclasses import replace
 from typing import Any
 
-from micahold.membership.group import Group, Options
+from micahold.membership.group import Group, GroupOptions
 from micahold.membership.keyring import Keyring
-from micahold.membership.service import Gossip
-from micahold.membership.signing import Hand, KeyFileError, read_members, read_own
+from micahold.membership.service import GossipService
+from micahold.membership.signing import Ed25519Signer, KeyFileError, read_keyring, read_signing_keys
 from micahold.program.front import Front
 from micahold.program.operator_file import OperatorFileError, changed_settings, read_settings_file
 from micahold.program.operator_settings import GossipSettings, OperatorSettings
 from micahold.program.structured import bind_logger
 
 
-def read_settings_and_keys(path: str) -> tuple[OperatorSettings, Hand | None, Keyring | None]:
+def read_settings_and_keys(path: str) -> tuple[OperatorSettings, Ed25519Signer | None, Keyring | None]:
     """The file and the key files it names; ``OperatorFileError`` where any can't be used."""
     settings = read_settings_file(path)
     if settings.gossip is None:
         return settings, None, None
     try:
-        return settings, Hand(read_own(settings.gossip.keys)), read_members(settings.gossip.members)
+        return (
+            settings,
+            Ed25519Signer(read_signing_keys(settings.gossip.keys)),
+            read_keyring(settings.gossip.members),
+        )
     except KeyFileError as problem:
         raise OperatorFileError([str(problem)]) from None
 
 
-def group_options(gossip: GossipSettings, front_name: str, told: int) -> Options:
+def group_options(gossip: GossipSettings, front_name: str, told: int) -> GroupOptions:
     """The settings as the group wants them."""
-    return Options(
+    return GroupOptions(
         name=gossip.name or front_name,
         address=gossip.advertise or gossip.listen,
         seeds=gossip.seeds,
@@ -38,8 +42,8 @@
         period=gossip.period,
         probe_timeout=gossip.probe_timeout,
         clock_error=gossip.clock_error,
-        gone=gossip.gone,
-        told=told,
+        removed_members=gossip.gone,
+        configured_gateways=told,
     )
 
 
@@ -49,7 +53,7 @@
     def __init__(self, path: str, front: Front, clock: Any, now: Callable[[], float], log: Any) -> None:
         self.path, self.front, self.now, self.log = path, front, now, log
         self.settings, hand, keyring = read_settings_and_keys(path)
-        self.gossip: Gossip | None = None
+        self.gossip: GossipService | None = None
         configuration = front.configuration
         if self.settings.gossip is not None and hand is not None and keyring is not None:
             options = group_options(
@@ -58,7 +62,7 @@
             if options.name not in keyring.keys:
                 raise OperatorFileError([f"{self.settings.gossip.members}: no member {options.name}"])
             group = Group(options, hand, keyring, now(), configuration.seed)
-            self.gossip = Gossip(
+            self.gossip = GossipService(
                 clock,
                 now,
                 group,
@@ -101,7 +105,13 @@
                 self.log("operator_reload_refused", errors=[f"{new.members}: no member {told.name}"])
                 return
             # Only what may change in service; the rest stays as it was at the start.
-            kept = replace(told, seeds=fresh.seeds, rate=fresh.rate, rate_in=fresh.rate_in, gone=fresh.gone)
+            kept = replace(
+                told,
+                seeds=fresh.seeds,
+                rate=fresh.rate,
+                rate_in=fresh.rate_in,
+                removed_members=fresh.removed_members,
+            )
             self.gossip.reconfigure(kept, hand, keyring, new.hearsay)
         self.log("operator_reload", taken_over=taken, only_on_restart=waits)
         if not waits:
--- a/tests/test_gossip_loopback.py
+++ b/tests/test_gossip_loopback.py
@@ -18,13 +18,13 @@
 
 from micahold.commands.cli import main as command
 from micahold.membership.signing import (
-    Hand,
+    Ed25519Signer,
     KeyFileError,
-    make_key,
-    read_members,
-    read_own,
-    write_members,
-    write_own,
+    generate_key,
+    read_keyring,
+    read_signing_keys,
+    write_public_keys,
+    write_signing_keys,
 )
 from tests.standins import Channel, Client, Engine, configuration, free_port, list_event, member, until
 
@@ -58,12 +58,12 @@
         self.channel, self.engines = Channel(), [Engine(), Engine()]
         self.ports = {name: quiet_port() for name in self.names}
         self.gossip = {name: quiet_port() for name in self.names}
-        keys = {name: make_key("k1") for name in self.names}
-        write_members(str(folder / "members.keys"), [keys[name].public(name) for name in self.names])
+        keys = {name: generate_key("k1") for name in self.names}
+        write_public_keys(str(folder / "members.keys"), [keys[name].public_key(name) for name in self.names])
         self.processes: dict[str, subprocess.Popen[bytes]] = {}
         members = [member(f"s-{at}", one.port) for at, one in enumerate(self.engines)]
         for name in self.names:
-            write_own(str(folder / f"{name}.keys"), [keys[name]])
+            write_signing_keys(str(folder / f"{name}.keys"), [keys[name]])
             seeds = " ".join(f'"127.0.0.1:{self.gossip[one]}"' for one in self.names[:2])
             (folder / f"{name}.sexp").write_text(
                 f'(gossip (listen "127.0.0.1:{self.gossip[name]}") (name {name}) (keys "{name}.keys")'
@@ -165,7 +165,7 @@
             ).exit_code
             == 0
         )
-        assert [one.key for one in read_own(own)] == ["k1", "k2"]
+        assert [one.key_id for one in read_signing_keys(own)] == ["k1", "k2"]
         for name in ("g0", "g2", "g1"):
             fleet.processes[name].send_signal(signal.SIGHUP)
             until(partial(fleet.events, name, "operator_reload"))
@@ -250,13 +250,13 @@
 
 def test_key_files_round_trip_and_secrets_are_readable_only_by_their_owner(folder: Path) -> None:
     path, public = str(folder / "own"), str(folder / "all")
-    keys = [make_key("k1", until=2e9), make_key("k2", since=1e9)]
-    write_own(path, keys)
-    write_members(public, [one.public("a") for one in keys])
-    assert read_own(path) == keys
+    keys = [generate_key("k1", until=2e9), generate_key("k2", since=1e9)]
+    write_signing_keys(path, keys)
+    write_public_keys(public, [one.public_key("a") for one in keys])
+    assert read_signing_keys(path) == keys
     assert Path(path).stat().st_mode & 0o077 == 0
-    ring = read_members(public)
-    hand = Hand(keys)
+    ring = read_keyring(public)
+    hand = Ed25519Signer(keys)
     assert hand.sign(1.5e9, b"")[0] == "k2" and hand.sign(0.5e9, b"")[0] == "k1"
     key, signature = hand.sign(1.5e9, b"text")
     assert ring.signature_rejection(1.5e9, "a", key, b"text", signature) is None
@@ -281,13 +281,15 @@
     path = folder / "bad"
     path.write_text(text)
     with pytest.raises(KeyFileError) as caught:
-        read_own(str(path))
+        read_signing_keys(str(path))
     assert str(path) in str(caught.value) and "\n" not in str(caught.value)
 
 
 def test_keys_list_shows_the_state_of_each_key(folder: Path) -> None:
     public = str(folder / "all")
-    write_members(public, [make_key("k1", until=1e9).public("a"), make_key("k2").public("a")])
+    write_public_keys(
+        public, [generate_key("k1", until=1e9).public_key("a"), generate_key("k2").public_key("a")]
+    )
     told = CliRunner().invoke(command, ["keys", "list", "--members", public, "--json"])
     assert [(one["key"], one["state"]) for one in json.loads(told.output)] == [
         ("k1", "expired"),
--- a/tests/test_membership_cores.py
+++ b/tests/test_membership_cores.py
@@ -24,10 +24,12 @@
 AT = 1_700_000_000.0
 
 
-def signed(origin: str, kind: wire.Kind, body: wire.Record | wire.Accusation | wire.Testimony) -> wire.Signed:
+def signed(
+    origin: str, kind: wire.StatementKind, body: wire.MemberRecord | wire.SuspicionReport | wire.FailureReport
+) -> wire.SignedStatement:
     data = wire.encode(body)
     hand = QuickHand("k1", secret_of(origin))
-    return wire.Signed(
+    return wire.SignedStatement(
         kind, origin, "k1", data, hand.sign(0.0, wire.signed_bytes(kind, origin, "k1", data))[1]
     )
 
@@ -135,7 +137,7 @@
 def test_each_rumour_goes_out_a_bounded_number_of_times_the_least_sent_and_newest_first() -> None:
     rumours, sent = DisseminationQueue(), dict[str, int]()
     for number in range(30):
-        one = signed(f"m{number}", wire.Kind.RECORD, wire.Record(1, "h", 1))
+        one = signed(f"m{number}", wire.StatementKind.MEMBER_RECORD, wire.MemberRecord(1, "h", 1))
         rumours.add(("record", one.origin), one, Priority.FORWARDED)
     assert [one.signed.origin for one in rumours.select(1000, 12)][:2] == ["m29", "m28"]
     assert [one.signed.origin for one in rumours.select(1000, 12, receiver="m29")][:2] == ["m28", "m27"]
@@ -157,7 +159,9 @@
         ("own", Priority.OWN),
         ("refuted", Priority.REFUTATION),
     ):
-        rumours.add(origin, signed(origin, wire.Kind.RECORD, wire.Record(1, "h", 1)), level)
+        rumours.add(
+            origin, signed(origin, wire.StatementKind.MEMBER_RECORD, wire.MemberRecord(1, "h", 1)), level
+        )
     assert [one.signed.origin for one in rumours.select(1000, 9)] == ["refuted", "own", "other"]
     assert [one.signed.origin for one in rumours.select(1000, 9, lowest=Priority.REFUTATION)] == ["refuted"]
 
@@ -165,10 +169,10 @@
 def test_rumours_are_bounded_and_what_is_heard_again_stops_sooner() -> None:
     rumours = DisseminationQueue()
     for number in range(MAX_QUEUED_STATEMENTS + 100):
-        one = signed(f"m{number}", wire.Kind.RECORD, wire.Record(1, "h", 1))
+        one = signed(f"m{number}", wire.StatementKind.MEMBER_RECORD, wire.MemberRecord(1, "h", 1))
         rumours.add(number, one, Priority.FORWARDED)
     assert len(rumours) == MAX_QUEUED_STATEMENTS
-    last = signed("x", wire.Kind.RECORD, wire.Record(1, "h", 1))
+    last = signed("x", wire.StatementKind.MEMBER_RECORD, wire.MemberRecord(1, "h", 1))
     rumours = DisseminationQueue()
     rumours.add("x", last, Priority.FORWARDED)
     for _ in range(3):
@@ -186,14 +190,16 @@
     roster = MemberList("me", period)
     for name in names:
         roster.apply_record(
-            AT, signed(name, wire.Kind.RECORD, wire.Record(10, name, 1)), wire.Record(10, name, 1)
+            AT,
+            signed(name, wire.StatementKind.MEMBER_RECORD, wire.MemberRecord(10, name, 1)),
+            wire.MemberRecord(10, name, 1),
         )
     return roster
 
 
 def accuse(roster: MemberList, now: float, accuser: str, subject: str, incarnation: int = 10) -> bool:
-    said = wire.Accusation(subject, incarnation, int(now * 1000))
-    return roster.apply_accusation(now, signed(accuser, wire.Kind.ACCUSATION, said), said)[0]
+    said = wire.SuspicionReport(subject, incarnation, int(now * 1000))
+    return roster.apply_accusation(now, signed(accuser, wire.StatementKind.SUSPICION_REPORT, said), said)[0]
 
 
 def test_nobody_is_dead_without_a_suspicion_that_ran_out() -> None:
@@ -225,7 +231,9 @@
     roster = known("a", "b", "c")
     accuse(roster, AT, "b", "a")
     roster.apply_record(
-        AT + 1, signed("a", wire.Kind.RECORD, wire.Record(11, "a", 1)), wire.Record(11, "a", 1)
+        AT + 1,
+        signed("a", wire.StatementKind.MEMBER_RECORD, wire.MemberRecord(11, "a", 1)),
+        wire.MemberRecord(11, "a", 1),
     )
     assert roster.members["a"].status is Status.ALIVE
     assert not accuse(roster, AT + 2, "c", "a", 10)
@@ -237,8 +245,8 @@
     roster = known("a", "b", "c")
     for incarnation in range(10, 18):
         assert accuse(roster, AT, "b", "a", incarnation)
-        fresh = wire.Record(incarnation + 1, "a", 1)
-        roster.apply_record(AT, signed("a", wire.Kind.RECORD, fresh), fresh)
+        fresh = wire.MemberRecord(incarnation + 1, "a", 1)
+        roster.apply_record(AT, signed("a", wire.StatementKind.MEMBER_RECORD, fresh), fresh)
     assert not accuse(roster, AT, "b", "a", 18)
     assert accuse(roster, AT, "c", "a", 18)
     assert roster.is_credible(AT + 31, "b")
@@ -253,21 +261,21 @@
 
 def test_incarnations_never_fall_and_a_leave_is_the_members_own_word() -> None:
     roster = known("a")
-    old, gone = wire.Record(9, "x", 1), wire.Record(10, "a", 1, left=True)
-    assert not roster.apply_record(AT, signed("a", wire.Kind.RECORD, old), old)[0]
-    assert roster.apply_record(AT, signed("a", wire.Kind.RECORD, gone), gone)[0]
+    old, gone = wire.MemberRecord(9, "x", 1), wire.MemberRecord(10, "a", 1, left=True)
+    assert not roster.apply_record(AT, signed("a", wire.StatementKind.MEMBER_RECORD, old), old)[0]
+    assert roster.apply_record(AT, signed("a", wire.StatementKind.MEMBER_RECORD, gone), gone)[0]
     assert not accuse(roster, AT, "b", "a")
-    back = wire.Record(11, "a", 2)
-    changes = roster.apply_record(AT, signed("a", wire.Kind.RECORD, back), back)[1]
+    back = wire.MemberRecord(11, "a", 2)
+    changes = roster.apply_record(AT, signed("a", wire.StatementKind.MEMBER_RECORD, back), back)[1]
     assert [(one.before, one.after) for one in changes] == [(Status.LEFT, Status.ALIVE)]
 
 
 def test_summaries_differ_only_where_rosters_do() -> None:
     one, other = known(*"abcdefghij"), known(*"abcdefghij")
-    own = ("me", wire.Record(1, "me", 1))
+    own = ("me", wire.MemberRecord(1, "me", 1))
     assert not differing_buckets(one.bucket_digests(own), other.bucket_digests(own))
-    fresh = wire.Record(11, "c", 1)
-    other.apply_record(AT, signed("c", wire.Kind.RECORD, fresh), fresh)
+    fresh = wire.MemberRecord(11, "c", 1)
+    other.apply_record(AT, signed("c", wire.StatementKind.MEMBER_RECORD, fresh), fresh)
     differ = differing_buckets(one.bucket_digests(own), other.bucket_digests(own))
     assert len(differ) == 1 and 0 <= differ[0] < BUCKET_COUNT
     assert "c" in {entry.origin for entry in other.statements_in(differ)}
@@ -337,8 +345,8 @@
 def hear(
     evidence: FailureReports, now: float, origin: str, *rows: tuple[str, int, int], sequence: int = 0
 ) -> bool:
-    said = wire.Testimony(1, sequence or int(now * 1000), int(now * 1000), 5000, rows)
-    return evidence.add_report(now, signed(origin, wire.Kind.TESTIMONY, said), said, now)
+    said = wire.FailureReport(1, sequence or int(now * 1000), int(now * 1000), 5000, rows)
+    return evidence.add_report(now, signed(origin, wire.StatementKind.FAILURE_REPORT, said), said, now)
 
 
 ENGINES = {f"e{one}" for one in range(12)}
--- a/tests/test_membership_machine.py
+++ b/tests/test_membership_machine.py
@@ -17,7 +17,7 @@
 from micahold.membership.group import Group
 from micahold.membership.member_list import MemberList, Status, StatusChange
 from micahold.membership.traffic import RATE_WINDOW_S, EgressLimiter, Priority
-from micahold.membership.wire import Record, Signed
+from micahold.membership.wire import MemberRecord, SignedStatement
 
 ENGINES = {"e1", "e2", "e3"}
 RATE = 4096  # bytes a second: the least that may be set, and it binds in so small a group
@@ -31,9 +31,9 @@
         super().__init__(*arguments)
         self.left: list[tuple[float, int]] = []
 
-    def _send(self, now: float, *arguments: Any) -> bool:
+    def _send_datagram(self, now: float, *arguments: Any) -> bool:
         before = len(self.outbox)
-        sent = super()._send(now, *arguments)
+        sent = super()._send_datagram(now, *arguments)
         self.left += [(now, len(one.data)) for one in self.outbox[before:]]
         return sent
 
@@ -53,7 +53,7 @@
 
     def run_for(self, seconds: float) -> None:
         for node in self.net.living():
-            node.group.listed(self.net.now, ENGINES, set())
+            node.group.update_engine_list(self.net.now, ENGINES, set())
         self.net.run(seconds)
 
     def honest(self) -> list[Node]:
@@ -97,7 +97,7 @@
         honest = self.honest()
         if honest:
             node = honest[one % len(honest)]
-            node.group.attempt_ended(self.net.now, engine, False)
+            node.group.record_attempt(self.net.now, engine, False)
 
     @invariant()
     def incarnations_never_fall(self) -> None:
@@ -131,7 +131,7 @@
     @invariant()
     def one_members_word_alone_changes_no_decision(self) -> None:
         for node in self.honest():
-            assert not node.group.verdict.failing and not node.group.verdict.draining
+            assert not node.group.snapshot.failing and not node.group.snapshot.draining
 
     @invariant()
     def the_limit_holds_in_every_window(self) -> None:
@@ -176,30 +176,30 @@
 
 
 def _no_refutation(patch: pytest.MonkeyPatch) -> None:
-    plain = Group._renew
+    plain = Group._renew_record
 
     def renew(group: Group, now: float, level: Priority, left: bool = False) -> None:
         if left:
             plain(group, now, level, left)
 
-    patch.setattr(Group, "_renew", renew)
+    patch.setattr(Group, "_renew_record", renew)
 
 
 def _old_records_count(patch: pytest.MonkeyPatch) -> None:
     plain = MemberList.apply_record
 
     def learn(
-        self: MemberList, now: float, signed: Signed, record: Record
+        self: MemberList, now: float, signed: SignedStatement, record: MemberRecord
     ) -> tuple[bool, list[StatusChange]]:
         if (member := self.members.get(signed.origin)) is not None:
             member.record = replace(member.record, incarnation=0)
         return plain(self, now, signed, record)
 
     patch.setattr(MemberList, "apply_record", learn)
-    patch.setattr(Group, "_hear_record", _hear_any)
+    patch.setattr(Group, "_handle_record", _hear_any)
 
 
-def _hear_any(self: Group, now: float, signed: Signed, record: Record) -> None:
+def _hear_any(self: Group, now: float, signed: SignedStatement, record: MemberRecord) -> None:
     if signed.origin != self.options.name:
         self.member_list.apply_record(now, signed, record)
 
--- a/tests/test_membership_network.py
+++ b/tests/test_membership_network.py
@@ -28,11 +28,11 @@
             if only is None or node.name in only:
                 for engine in sorted(ENGINES):
                     for _ in range(each):
-                        node.group.attempt_ended(net.now + node.offset, engine, engine in failing)
+                        node.group.record_attempt(net.now + node.offset, engine, engine in failing)
         net.at(net.now + 0.5, act)
 
     for node in net.living():
-        node.group.listed(net.now + node.offset, ENGINES, set())
+        node.group.update_engine_list(net.now + node.offset, ENGINES, set())
     act()
 
 
@@ -73,7 +73,7 @@
 def test_false_failure_reports_of_up_to_three_of_ten_members_have_no_effect(number: int) -> None:
     net = with_liars(number, liars.Slanderer)
     see(net)
-    assert not believed(net, 20, lambda group: group.verdict.failing)
+    assert not believed(net, 20, lambda group: group.snapshot.failing)
     for node in honest(net):
         for liar in (one for one in net.living() if one not in honest(net)):
             voice = node.group.failure_reports.reporters.get(liar.name)
@@ -84,15 +84,15 @@
 def test_three_colluding_liars_do_not_convince_members_without_own_attempts() -> None:
     net = with_liars(3, liars.Slanderer)
     see(net, only={"m1"})
-    assert not believed(net, 10, lambda group: group.verdict.failing)
+    assert not believed(net, 10, lambda group: group.snapshot.failing)
 
 
 def test_true_engine_failure_reaches_members_without_own_attempts() -> None:
     net = with_liars(1, liars.Flatterer)
     see(net, failing={"e3"}, only={"m0", "m1", "m2", "m3", "m4"})
-    found = believed(net, 5, lambda group: group.verdict.failing)
+    found = believed(net, 5, lambda group: group.snapshot.failing)
     assert found == {"e3"}
-    assert all("e3" in node.group.verdict.failing for node in honest(net))
+    assert all("e3" in node.group.snapshot.failing for node in honest(net))
 
 
 def test_member_that_reports_a_failing_engine_healthy_loses_credit() -> None:
@@ -100,7 +100,7 @@
     see(net, failing={"e3"})
     net.run(10)
     for node in honest(net):
-        assert "e3" in node.group.verdict.failing
+        assert "e3" in node.group.snapshot.failing
         assert node.group.failure_reports.reporters["m9"].credibility_at(net.now) < 0.5
 
 
@@ -116,15 +116,15 @@
 def test_false_drain_reports_of_one_member_have_no_effect() -> None:
     net = with_liars(1, liars.Drainer)
     see(net)
-    assert not believed(net, 10, lambda group: group.verdict.draining)
+    assert not believed(net, 10, lambda group: group.snapshot.draining)
 
 
 def test_false_drain_reports_of_three_members_affect_few_engines_for_a_short_time() -> None:
     net = with_liars(3, liars.Drainer)
     see(net)
-    assert len(believed(net, 2, lambda group: group.verdict.draining)) <= len(ENGINES) // 8
+    assert len(believed(net, 2, lambda group: group.snapshot.draining)) <= len(ENGINES) // 8
     net.run(4)
-    assert not believed(net, 30, lambda group: group.verdict.draining)
+    assert not believed(net, 30, lambda group: group.snapshot.draining)
 
 
 def test_member_that_suspects_everybody_causes_no_false_death_and_loses_trust() -> None:
@@ -216,7 +216,7 @@
 @pytest.mark.parametrize("small", [5, 2])
 def test_partition_never_lowers_the_size_bound_and_heals(small: int) -> None:
     net = Network(seed=8)
-    net.group(10, told=10)
+    net.group(10, configured_gateways=10)
     net.run_until(net.agree, 20)
     ones = [f"m{one}" for one in range(small)]
     others = [f"m{one}" for one in range(small, 10)]
@@ -224,13 +224,13 @@
     net.run(60)
     for node in net.living():
         same = len(ones) if node.name in ones else len(others)
-        assert node.group.verdict.size.upper_bound == 10
+        assert node.group.snapshot.gateways.upper_bound == 10
         # In a partition of two all probes fail; the bad local health score then delays death declarations.
-        assert same <= node.group.verdict.size.live <= (same if same > 2 else 4)
+        assert same <= node.group.snapshot.gateways.live <= (same if same > 2 else 4)
     net.heal()
     assert net.run_until(net.agree, 60) is not None
     net.run(1)
-    assert all(node.group.verdict.size.live == 10 for node in net.living())
+    assert all(node.group.snapshot.gateways.live == 10 for node in net.living())
     deaths = net.wrong_deaths()
     net.run(60)
     assert net.wrong_deaths() == deaths
@@ -296,7 +296,7 @@
     for name in ("m0", "m2"):
         net.add(name, keyring, [("10.0.0.0", 7946), ("10.0.0.2", 7946)], rate=2000)
     for node in net.living():
-        node.group.exchange = lambda now, name: None  # type: ignore[method-assign]
+        node.group.begin_exchange = lambda now, name: None  # type: ignore[method-assign]
     assert net.run_until(net.agree, 30) is not None
 
 
@@ -324,7 +324,7 @@
 
 def test_leave_lowers_the_size_bound_at_once_and_death_does_not() -> None:
     net = Network(seed=14)
-    net.group(6, told=6)
+    net.group(6, configured_gateways=6)
     net.run_until(net.agree, 20)
     net.nodes["m5"].group.leave(net.now)
     net._after(net.nodes["m5"])
@@ -332,9 +332,9 @@
     net.kill("m5")
     net.kill("m4")
     net.run(60)
-    assert {(node.group.verdict.size.upper_bound, node.group.verdict.size.live) for node in net.living()} == {
-        (5, 4)
-    }
+    assert {
+        (node.group.snapshot.gateways.upper_bound, node.group.snapshot.gateways.live) for node in net.living()
+    } == {(5, 4)}
     assert not [one for node in net.living() for _, one in node.news
                 if one.name == "m5" and one.after in (Status.SUSPECT, Status.DEAD)]  # fmt: skip
 
@@ -347,7 +347,7 @@
     assert net.run_until(net.agree, 30) is not None
     see(net, failing={"e1"})
     net.run(6)
-    assert all("e1" in node.group.verdict.failing for node in net.living())
+    assert all("e1" in node.group.snapshot.failing for node in net.living())
     assert net.wrong_deaths() == 0
 
 
@@ -409,9 +409,9 @@
         net.kill(name)
     group = net.nodes["m0"].group
     group.reconfigure(net.now, group.options, group.signer, left)
-    group.listed(net.now, {"e2"}, set())
+    group.update_engine_list(net.now, {"e2"}, set())
     net.run(11)
     assert set(group.member_list.members) == {"m1", "m2"}
     assert set(group.failure_reports.reporters) <= {"m1", "m2"} and set(group.replay.senders) <= {"m1", "m2"}
     assert set(group.failure_reports.observations.engines) <= {"e2"}
-    assert all(mark[0] in ("m0", "m1", "m2") for mark in group._checked)
+    assert all(mark[0] in ("m0", "m1", "m2") for mark in group._verified_signatures)
--- a/tests/test_membership_wire.py
+++ b/tests/test_membership_wire.py
@@ -10,7 +10,7 @@
 from micahold.laboratory.gossip_network import START, Network, QuickHand, secret_of
 from micahold.membership import wire
 from micahold.membership.group import Group
-from micahold.membership.wire import Kind, Signed, WireError
+from micahold.membership.wire import SignedStatement, StatementKind, WireError
 
 SOURCE_ADDRESS = ("10.0.0.1", 7946)
 
@@ -36,7 +36,7 @@
     ]
 
 
-def signed_by_m1(body: bytes, kind: int = Kind.PACKET) -> bytes:
+def signed_by_m1(body: bytes, kind: int = StatementKind.PACKET) -> bytes:
     """Encode a statement with a valid signature of m1, as any member with valid keys can send it."""
     signer = QuickHand("k1", secret_of("m1"))
     signature = signer.sign(0.0, wire.signed_bytes(kind, "m1", "k1", body))[1]
@@ -50,7 +50,7 @@
     GROUP.ingress.buckets.clear()
     GROUP.ingress.window.__init__()  # type: ignore[misc]
     GROUP.receive(NOW, data, SOURCE_ADDRESS)
-    assert GROUP.frame(NOW, data, SOURCE_ADDRESS) == []
+    assert GROUP.handle_frame(NOW, data, SOURCE_ADDRESS) == []
     assert state(GROUP) == state_before
     assert not GROUP.outbox
 
@@ -63,15 +63,15 @@
 )  # fmt: skip
 
 
-@given(ARBITRARY_BODIES, st.sampled_from(list(Kind)))
+@given(ARBITRARY_BODIES, st.sampled_from(list(StatementKind)))
 @settings(max_examples=300)
-def test_body_of_wrong_shape_is_dropped_even_with_valid_signature(body: object, kind: Kind) -> None:
+def test_body_of_wrong_shape_is_dropped_even_with_valid_signature(body: object, kind: StatementKind) -> None:
     state_before = state(GROUP)
     GROUP.ingress.buckets.clear()
     GROUP.ingress.window.__init__()  # type: ignore[misc]
     data = signed_by_m1(msgspec.msgpack.encode(body), kind)
     GROUP.receive(NOW, data, SOURCE_ADDRESS)
-    assert GROUP.frame(NOW, data, SOURCE_ADDRESS) == []
+    assert GROUP.handle_frame(NOW, data, SOURCE_ADDRESS) == []
     assert state(GROUP) == state_before
 
 
@@ -105,17 +105,17 @@
 
 def test_datagram_above_the_maximum_size_is_rejected() -> None:
     with pytest.raises(WireError):
-        wire.decode_signed(bytes(wire.MOST_DATAGRAM + 1))
+        wire.decode_signed(bytes(wire.MAX_DATAGRAM_BYTES + 1))
 
 
 def test_record_forged_in_the_name_of_another_member_is_rejected() -> None:
     group = converged_member(4)
     record_before = group.member_list.members["m2"].record
-    forged_record = wire.Record(2**60, "10.9.9.9", 1, left=True)
+    forged_record = wire.MemberRecord(2**60, "10.9.9.9", 1, left=True)
     body = wire.encode(forged_record)
     signer = QuickHand("k1", secret_of("m1"))
-    data = wire.signed_bytes(Kind.RECORD, "m2", "k1", body)
-    statement = Signed(Kind.RECORD, "m2", "k1", body, signer.sign(0.0, data)[1])
+    data = wire.signed_bytes(StatementKind.MEMBER_RECORD, "m2", "k1", body)
+    statement = SignedStatement(StatementKind.MEMBER_RECORD, "m2", "k1", body, signer.sign(0.0, data)[1])
     packet = wire.Packet("m0", 2**62, 1, int(NOW * 1000), (), (statement,))
     group.receive(NOW, signed_by_m1(wire.encode(packet)), SOURCE_ADDRESS)
     assert group.member_list.members["m2"].record == record_before
@@ -123,9 +123,9 @@
 
 
 def test_signature_covers_the_kind_and_the_boundaries_between_fields() -> None:
-    body, signer = wire.encode(wire.Record(1, "a", 1)), QuickHand("k1", secret_of("m1"))
-    signature = signer.sign(0.0, wire.signed_bytes(Kind.RECORD, "m1", "k1", body))[1]
-    assert signature != signer.sign(0.0, wire.signed_bytes(Kind.DRAINS, "m1", "k1", body))[1]
+    body, signer = wire.encode(wire.MemberRecord(1, "a", 1)), QuickHand("k1", secret_of("m1"))
+    signature = signer.sign(0.0, wire.signed_bytes(StatementKind.MEMBER_RECORD, "m1", "k1", body))[1]
+    assert signature != signer.sign(0.0, wire.signed_bytes(StatementKind.DRAIN_REPORT, "m1", "k1", body))[1]
     assert wire.signed_bytes(1, "ab", "c", b"") != wire.signed_bytes(1, "a", "bc", b"")
 
 
@@ -136,16 +136,16 @@
 
 @given(
     st.builds(
-        wire.Testimony,
+        wire.FailureReport,
         run=LARGE_INTEGERS,
         sequence=LARGE_INTEGERS,
-        at=LARGE_INTEGERS,
-        window=COUNTS,
+        at_ms=LARGE_INTEGERS,
+        window_ms=COUNTS,
         rows=ROWS,
     )
 )
-def test_encoded_testimony_decodes_to_the_same_and_fits_its_size_bound(testimony: wire.Testimony) -> None:
-    signed = Signed(Kind.TESTIMONY, "m1", "k1", wire.encode(testimony), bytes(64))
-    decoded = wire.decode_signed(wire.encode(signed), wire.MOST_FRAME)
-    assert wire.decode_body(decoded, wire.Testimony) == testimony
-    assert len(wire.encode(signed)) <= signed.length()
+def test_encoded_testimony_decodes_to_the_same_and_fits_its_size_bound(testimony: wire.FailureReport) -> None:
+    signed = SignedStatement(StatementKind.FAILURE_REPORT, "m1", "k1", wire.encode(testimony), bytes(64))
+    decoded = wire.decode_signed(wire.encode(signed), wire.MAX_FRAME_BYTES)
+    assert wire.decode_body(decoded, wire.FailureReport) == testimony
+    assert len(wire.encode(signed)) <= signed.size_bound()
