--- a/micahold/membership/service.py
+++ b/micahold/membership/service.py
@@ -1,7 +1,7 @@
-"""The group on sockets: UDP for datagrams, TCP for full exchanges, round one pure ``Group``.
+"""Sockets around one ``Group``: UDP for datagrams, TCP for anti-entropy exchanges.
 
-Nothing here decides. Every connection has a time limit and a bounded frame, and there is a most of them;
-whatever goes wrong with one is counted and ends that one alone.
+This module makes no protocol decisions. Every connection has a time limit and a maximum frame size, and the
+number of connections is bounded; a fault on one connection is counted and closes only that connection.
 """
 
 from __future__ import annotations
@@ -10,7 +10,8 @@
 from typing import Any
 
 import orjson
-from twisted.internet import error, protocol
+from twisted.internet import error as internet_error
+from twisted.internet import protocol
 from twisted.protocols.basic import Int32StringReceiver
 from twisted.python.failure import Failure
 
@@ -21,56 +22,61 @@
 from micahold.membership.wire import MAX_FRAME_BYTES
 
 MAX_CONNECTIONS = 16
-EXCHANGE_TIMEOUT_S, CONNECT_TIMEOUT_S = 5.0, 2.0
+EXCHANGE_TIMEOUT_S = 5.0  # for a whole exchange over one connection
+CONNECT_TIMEOUT_S = 2.0
 MIN_TIMER_DELAY_S = 0.002
 
 
 class ExchangeConnection(Int32StringReceiver):
-    """One full exchange, from either end; ``first`` is what the end that asked begins with."""
+    """One end of an anti-entropy exchange; ``first_frame`` is sent first by the end that begins it."""
 
     MAX_LENGTH = MAX_FRAME_BYTES
     transport: Any
 
-    def __init__(self, service: GossipService, first: bytes | None = None) -> None:
-        self.service, self.first = service, first
-        self._limit: Any = None
+    def __init__(self, service: GossipService, first_frame: bytes | None = None) -> None:
+        self.service, self.first_frame = service, first_frame
+        self._time_limit: Any = None
 
     def connectionMade(self) -> None:
-        self.service.connections += 1
-        self._limit = self.service.clock.callLater(EXCHANGE_TIMEOUT_S, self.transport.abortConnection)
-        if self.first is not None:
-            self._say(self.first)
-        elif self.service.connections > MAX_CONNECTIONS:
+        """Start the time limit and send the first frame; refuse accepted connections above the maximum."""
+        self.service.open_connections += 1
+        self._time_limit = self.service.clock.callLater(EXCHANGE_TIMEOUT_S, self.transport.abortConnection)
+        if self.first_frame is not None:
+            self._send_frame(self.first_frame)
+        elif self.service.open_connections > MAX_CONNECTIONS:
             self.service.group.counts["connections_turned_away"] += 1
             self.transport.abortConnection()
 
-    def _say(self, frame: bytes) -> None:
+    def _send_frame(self, frame: bytes) -> None:
         self.sendString(frame)  # type: ignore[no-untyped-call]
 
     def stringReceived(self, string: bytes) -> None:
+        """Answer one frame; close the connection after the last answer or if there is none."""
         try:
-            answers, last = self.service.frame(string, self.transport.getPeer().host)
-        except Exception as problem:  # ends this exchange alone
-            self.service.fault(problem)
+            answers, last = self.service.answer_frame(string, self.transport.getPeer().host)
+        except Exception as error:  # closes only this connection
+            self.service.record_fault(error)
             self.transport.abortConnection()
             return
         for answer in answers:
-            self._say(answer)
+            self._send_frame(answer)
         if last or not answers:
             self.transport.loseConnection()
 
     def lengthLimitExceeded(self, length: int) -> None:
+        """Count a frame above the maximum size and abort the connection."""
         self.service.group.counts["frames_too_long"] += 1
         self.transport.abortConnection()
 
     def connectionLost(self, reason: Failure = protocol.connectionDone) -> None:
-        self.service.connections -= 1
-        if self._limit is not None and self._limit.active():
-            self._limit.cancel()
+        """Release the connection's place and cancel its time limit."""
+        self.service.open_connections -= 1
+        if self._time_limit is not None and self._time_limit.active():
+            self._time_limit.cancel()
 
 
 class ExchangeServerFactory(protocol.ServerFactory):
-    """Takes full exchanges that other members begin."""
+    """Accepts the anti-entropy exchanges that other members begin."""
 
     noisy = False
 
@@ -78,26 +84,33 @@
         self.service = service
 
     def buildProtocol(self, addr: Any) -> ExchangeConnection:
+        """Return the protocol of an accepted connection."""
         return ExchangeConnection(self.service)
 
 
 class ExchangeClientFactory(protocol.ClientFactory):
-    """Begins one."""
+    """Begins an anti-entropy exchange with ``first_frame``."""
 
     noisy = False
 
-    def __init__(self, service: GossipService, first: bytes) -> None:
-        self.service, self.first = service, first
+    def __init__(self, service: GossipService, first_frame: bytes) -> None:
+        self.service, self.first_frame = service, first_frame
 
     def buildProtocol(self, addr: Any) -> ExchangeConnection:
-        return ExchangeConnection(self.service, self.first)
+        """Return the protocol that sends the first frame."""
+        return ExchangeConnection(self.service, self.first_frame)
 
     def clientConnectionFailed(self, connector: Any, reason: Failure) -> None:
+        """Count an exchange whose connection could not be established."""
         self.service.group.counts["exchanges_failed"] += 1
 
 
 class GossipService(protocol.DatagramProtocol):
-    """``tell`` gets events for the decisions; ``observe`` is handed those that the exchange tells."""
+    """Runs a ``Group`` on sockets and a timer, and connects it to the admission controller.
+
+    ``deliver_event`` receives the group's events for the controller. ``observe`` takes the events that the
+    query exchange delivers to the controller.
+    """
 
     noisy = False
     transport: Any
@@ -107,130 +120,144 @@
         clock: Any,
         now: Callable[[], float],
         group: Group,
-        listen: Address,
+        listen_address: Address,
         log: Callable[..., None],
-        tell: Callable[[api.Event], None],
-        hearsay: bool = True,
+        deliver_event: Callable[[api.Event], None],
+        share_reports: bool = True,
     ) -> None:
-        self.clock, self.now, self.group, self.listen = clock, now, group, listen
-        self.log, self.tell = log, tell
-        self.adapter = ControllerAdapter(group, hearsay)
-        self.connections = 0
-        self._call: Any = None
-        self._udp: Any = None
-        self._tcp: Any = None
+        self.clock, self.now, self.group, self.listen_address = clock, now, group, listen_address
+        self.log, self.deliver_event = log, deliver_event
+        self.adapter = ControllerAdapter(group, share_reports)
+        self.open_connections = 0
+        self._timer: Any = None
+        self._udp_port: Any = None
+        self._tcp_port: Any = None
         self._stopped = False
 
-    # From start to stop
+    # Start and stop
 
     def start(self) -> None:
-        """``CannotListenError`` where the address is taken."""
-        host, port = self.listen
-        self._udp = self.clock.listenUDP(port, self, interface=host)
+        """Open both sockets and start the timer; raise ``CannotListenError`` if an address is in use."""
+        host, port = self.listen_address
+        self._udp_port = self.clock.listenUDP(port, self, interface=host)
         try:
-            self._tcp = self.clock.listenTCP(port, ExchangeServerFactory(self), interface=host)
-        except error.CannotListenError:
-            self._udp.stopListening()
+            self._tcp_port = self.clock.listenTCP(port, ExchangeServerFactory(self), interface=host)
+        except internet_error.CannotListenError:
+            self._udp_port.stopListening()
             raise
         self._tick()
 
     def leave(self) -> None:
-        """Tell the others; goes on until ``stop``."""
+        """Announce that this member leaves; gossip continues until ``stop``."""
         self.group.leave(self.now())
-        self._after()
+        self._carry_out()
 
     def stop(self) -> None:
+        """Cancel the timer and close both sockets."""
         self._stopped = True
-        if self._call is not None and self._call.active():
-            self._call.cancel()
-        for port in (self._udp, self._tcp):
+        if self._timer is not None and self._timer.active():
+            self._timer.cancel()
+        for port in (self._udp_port, self._tcp_port):
             if port is not None:
                 port.stopListening()
 
-    def reconfigure(self, options: GroupOptions, hand: Signer, keyring: Keyring, hearsay: bool) -> None:
-        """Take over what may change in service."""
-        self.adapter.share_reports = hearsay
-        self.group.reconfigure(self.now(), options, hand, keyring)
-        if not hearsay:
-            self.tell(api.PeerReport())
-        self._after()
+    def reconfigure(
+        self, options: GroupOptions, signer: Signer, keyring: Keyring, share_reports: bool
+    ) -> None:
+        """Apply the settings and keys that may change at runtime."""
+        self.adapter.share_reports = share_reports
+        self.group.reconfigure(self.now(), options, signer, keyring)
+        if not share_reports:
+            self.deliver_event(api.PeerReport())
+        self._carry_out()
 
     def counters(self) -> dict[str, int]:
-        """Sums by name, for the log."""
+        """Return the counters by their names in the log."""
         counts = {f"gossip_{name}": number for name, number in sorted(self.group.counts.items())}
         return {**counts, "most_gossip_bytes_a_second": self.group.egress.peak_bytes}
 
-    # What happens
+    # Events
 
     def observe(self, event: api.Event) -> None:
-        """An event that the exchange tells the decisions; a fault here must not reach them."""
+        """Process an event of the query exchange; a fault here must not reach the admission controller."""
         if isinstance(event, api.AttemptEnded | api.ListUpdate):
-            self._guarded(self.adapter.handle_event, self.now(), event)
+            self._call_group(self.adapter.handle_event, self.now(), event)
 
     def datagramReceived(self, datagram: bytes, addr: Any) -> None:
-        self._guarded(self.group.receive, self.now(), datagram, (addr[0], addr[1]))
+        """Pass a datagram and its source address to the group."""
+        self._call_group(self.group.receive, self.now(), datagram, (addr[0], addr[1]))
 
     def connectionRefused(self) -> None:
-        """Nobody listens there: the probe's time-out will tell."""
+        """Ignore that no process listens at a member's address: the probe's timeout detects it."""
 
-    def frame(self, data: bytes, host: str) -> tuple[list[bytes], bool]:
-        """Answers to a frame, and whether the connection ends with them."""
+    def answer_frame(self, data: bytes, host: str) -> tuple[list[bytes], bool]:
+        """Return the answers to a frame, and whether the connection is closed after them."""
         now = self.now()
         if self.group.is_own_view_request(now, data):
             return [orjson.dumps(self.group.view(now))], True
         answers = self.group.handle_frame(now, data, (host, 0))
-        self._after()
+        self._carry_out()
         return answers, False
 
-    def fault(self, problem: Exception) -> None:
+    def record_fault(self, error: Exception) -> None:
+        """Count and log an unexpected exception."""
         self.group.counts["faults"] += 1
-        self.log("gossip_fault", error=f"{type(problem).__name__}: {problem}")
+        self.log("gossip_fault", error=f"{type(error).__name__}: {error}")
 
-    def _guarded(self, act: Callable[..., None], *arguments: Any) -> None:
-        """An error in the group costs what it came with and is logged; the front goes on."""
+    def _call_group(self, function: Callable[..., None], *arguments: Any) -> None:
+        """Call the group; an exception drops only the event that caused it and is logged."""
         try:
-            act(*arguments)
-        except Exception as problem:
-            self.fault(problem)
-        self._after()
+            function(*arguments)
+        except Exception as error:
+            self.record_fault(error)
+        self._carry_out()
 
     def _tick(self) -> None:
-        self._call = None
-        self._guarded(self.group.tick, self.now())
+        self._timer = None
+        self._call_group(self.group.tick, self.now())
 
-    def _after(self) -> None:
-        """Carry out what the core wants, and wake when it is due."""
+    def _carry_out(self) -> None:
+        """Carry out and log the group's results, deliver its events and set the timer for its next tick."""
         group = self.group
         if group.outbox:
-            sent, group.outbox = group.outbox, []
-            for datagram in sent:
+            datagrams, group.outbox = group.outbox, []
+            for datagram in datagrams:
                 try:
                     self.transport.write(datagram.data, datagram.address)
-                except (OSError, error.MessageLengthError, error.InvalidAddressError, AttributeError):
+                except (
+                    OSError,
+                    internet_error.MessageLengthError,
+                    internet_error.InvalidAddressError,
+                    AttributeError,
+                ):
                     group.counts["datagrams_unsent"] += 1
         if group.exchange_targets:
-            wanted, group.exchange_targets = group.exchange_targets, []
-            for name, (host, port) in wanted:
-                first = group.begin_exchange(self.now(), name) if self.connections < MAX_CONNECTIONS else None
-                if first is not None:
+            targets, group.exchange_targets = group.exchange_targets, []
+            for name, (host, port) in targets:
+                first_frame = (
+                    group.begin_exchange(self.now(), name)
+                    if self.open_connections < MAX_CONNECTIONS
+                    else None
+                )
+                if first_frame is not None:
                     self.clock.connectTCP(
-                        host, port, ExchangeClientFactory(self, first), timeout=CONNECT_TIMEOUT_S
+                        host, port, ExchangeClientFactory(self, first_frame), timeout=CONNECT_TIMEOUT_S
                     )
         if group.status_changes:
-            news, group.status_changes = group.status_changes, []
-            for one in news:
-                before = one.before.value if one.before is not None else None
-                self.log("member", name=one.name, before=before, now=one.after.value, why=one.reason)
+            changes, group.status_changes = group.status_changes, []
+            for change in changes:
+                before = change.before.value if change.before is not None else None
+                self.log("member", name=change.name, before=before, now=change.after.value, why=change.reason)
         for event in self.adapter.take_events(self.now()):
-            self.tell(event)
-        self._wake()
+            self.deliver_event(event)
+        self._set_timer()
 
-    def _wake(self) -> None:
+    def _set_timer(self) -> None:
         if self._stopped:
             return
-        wait = max(MIN_TIMER_DELAY_S, self.group.due() - self.now())
-        if self._call is not None and self._call.active():
-            if self._call.getTime() <= self.clock.seconds() + wait + MIN_TIMER_DELAY_S:
+        delay_s = max(MIN_TIMER_DELAY_S, self.group.due() - self.now())
+        if self._timer is not None and self._timer.active():
+            if self._timer.getTime() <= self.clock.seconds() + delay_s + MIN_TIMER_DELAY_S:
                 return
-            self._call.cancel()
-        self._call = self.clock.callLater(wait, self._tick)
+            self._timer.cancel()
+        self._timer = self.clock.callLater(delay_s, self._tick)
--- a/micahold/membership/wire.py
+++ b/micahold/membership/wire.py
@@ -13,11 +13,11 @@
 
 import msgspec
 
-MAX_DATAGRAM_BYTES = 1200  # bytes; small enough for any network path without IP fragmentation
-MAX_FRAME_BYTES = 16 * 1024  # bytes of one frame of an anti-entropy exchange
-MAX_ENGINES_PER_STATEMENT = 16  # engines named in one statement
-MAX_STATEMENTS_PER_PACKET = 128  # statements in one packet
-MAX_MESSAGES_PER_PACKET = 8  # messages in one packet
+MAX_DATAGRAM_BYTES = 1200  # small enough for any network path without IP fragmentation
+MAX_FRAME_BYTES = 16 * 1024  # of one frame of an anti-entropy exchange
+MAX_ENGINES_PER_STATEMENT = 16
+MAX_STATEMENTS_PER_PACKET = 128
+MAX_MESSAGES_PER_PACKET = 8
 SIGNING_DOMAIN = b"micahold gossip 1\0"
 
 UnsignedInteger = Annotated[int, msgspec.Meta(ge=0, le=2**63 - 1)]
@@ -87,9 +87,8 @@
     at_ms: UnsignedInteger
 
 
-AttemptCounts = tuple[
-    Name, BoundedInteger, BoundedInteger
-]  # engine name, number of attempts, number of failed attempts
+# Engine name, number of attempts, number of failed attempts.
+AttemptCounts = tuple[Name, BoundedInteger, BoundedInteger]
 
 
 class FailureReport(msgspec.Struct, frozen=True, array_like=True):
