--- a/micahold/membership/failure_reports.py
+++ b/micahold/membership/failure_reports.py
@@ -16,7 +16,7 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from micahold.membership.wire import MOST_ROWS, Row, Signed, Testimony
+from micahold.membership.wire import MAX_ENGINES_PER_STATEMENT, AttemptCounts, FailureReport, SignedStatement
 
 OBSERVATION_WINDOW_S = 5  # own attempts are counted in whole seconds over this window
 MIN_BAD_SHARE = 0.5  # share of failed attempts from which an engine is assessed as bad
@@ -117,8 +117,8 @@
     reported_at: float = -1e9  # when its latest report was made, by the local clock
     run: int = 0
     sequence: int = -1
-    rows: tuple[Row, ...] = ()
-    recent_statements: deque[tuple[int, int, Signed]] = field(
+    rows: tuple[AttemptCounts, ...] = ()
+    recent_statements: deque[tuple[int, int, SignedStatement]] = field(
         default_factory=lambda: deque(maxlen=KEPT_REPORTS)
     )
 
@@ -137,9 +137,9 @@
     def __init__(self) -> None:
         self.observations = LocalObservations()
         self.reporters: dict[str, Reporter] = {}
-        self.equivocations: dict[str, tuple[Signed, Signed]] = {}
+        self.equivocations: dict[str, tuple[SignedStatement, SignedStatement]] = {}
 
-    def add_report(self, now: float, signed: Signed, testimony: Testimony, made_at: float) -> bool:
+    def add_report(self, now: float, signed: SignedStatement, report: FailureReport, made_at: float) -> bool:
         """Apply a report, made at ``made_at`` by the local clock; return whether it was new.
 
         The caller has verified its signature and checked its age. A report that is older than the latest one
@@ -149,7 +149,7 @@
         if origin in self.equivocations:
             return False
         reporter = self.reporters.setdefault(origin, Reporter(updated_at=now))
-        report_id = testimony.run, testimony.sequence
+        report_id = report.run, report.sequence
         for run, sequence, other in reporter.recent_statements:
             if (run, sequence) == report_id:
                 if other.body == signed.body:
@@ -161,12 +161,12 @@
         if report_id <= (reporter.run, reporter.sequence):
             return False
         reporter.run, reporter.sequence = report_id
-        reporter.rows, reporter.reported_at = testimony.rows, made_at
-        if self._is_contradicted(now, origin, testimony.rows):
+        reporter.rows, reporter.reported_at = report.rows, made_at
+        if self._is_contradicted(now, origin, report.rows):
             reporter.reduce_credibility(now)
         return True
 
-    def _is_contradicted(self, now: float, origin: str, rows: Iterable[Row]) -> bool:
+    def _is_contradicted(self, now: float, origin: str, rows: Iterable[AttemptCounts]) -> bool:
         """Whether own confident observations, or a clear majority of the others, are opposite to a row."""
         opposite = {Assessment.BAD: Assessment.GOOD, Assessment.GOOD: Assessment.BAD}
         for engine, attempts, failures in rows:
@@ -241,14 +241,14 @@
         limit = max(1, int(len(listed) * MAX_FAILING_SHARE))
         return frozenset(engine for _, _, engine in sorted(candidates)[:limit])
 
-    def rows_to_report(self, now: float, listed: set[str], live_members: int) -> tuple[Row, ...]:
+    def rows_to_report(self, now: float, listed: set[str], live_members: int) -> tuple[AttemptCounts, ...]:
         """Rows for this member's next report: engines it assesses as bad, and as good where others say bad.
 
         An engine that twice the quorum has reported alike is left out, so that in a large group the traffic
         about one failing engine does not grow with the number of members.
         """
         sufficient = 2 * quorum(live_members)
-        rows: list[tuple[float, Row]] = []
+        rows: list[tuple[float, AttemptCounts]] = []
         for engine in self.observations.engines:
             if engine not in listed:
                 continue
@@ -259,7 +259,7 @@
             agreeing, opposing = self.count_reporters(now, engine, own)
             if agreeing < sufficient and (own is Assessment.BAD or opposing):
                 rows.append((-failures / attempts, (engine, min(attempts, 10**6), min(failures, 10**6))))
-        return tuple(row for _, row in sorted(rows)[:MOST_ROWS])
+        return tuple(row for _, row in sorted(rows)[:MAX_ENGINES_PER_STATEMENT])
 
     def retain(self, now: float, names: set[str], engines: set[str]) -> None:
         """Keep only what concerns these members and these engines."""
