--- a/micahold/membership/controller_adapter.py
+++ b/micahold/membership/controller_adapter.py
@@ -8,7 +8,7 @@
 from __future__ import annotations
 
 from micahold import interface as api
-from micahold.membership.group import Group, Verdict
+from micahold.membership.group import Group, GroupSnapshot
 
 REPEAT_INTERVAL_S = 1.0  # peer reports expire, so unchanged ones are repeated
 FAILED_OUTCOMES = frozenset(
@@ -28,7 +28,7 @@
         self.group = group
         self.share_reports = share_reports
         self.engine_states: dict[str, api.EngineState] = {}
-        self._last_verdict: Verdict | None = None
+        self._last_snapshot: GroupSnapshot | None = None
         self._reported_at = 0.0
 
     def handle_event(self, now: float, event: api.Event) -> None:
@@ -37,31 +37,31 @@
             case api.AttemptEnded(attempt=attempt, engine=engine, outcome=outcome):
                 # An error after the first attempt counts against the query alone, as in the controller.
                 if outcome not in IGNORED_OUTCOMES and not (outcome is api.Outcome.ERROR and attempt > 0):
-                    self.group.attempt_ended(now, engine, outcome in FAILED_OUTCOMES)
+                    self.group.record_attempt(now, engine, outcome in FAILED_OUTCOMES)
             case api.ListUpdate(kind=kind, entries=entries):
                 if kind is not api.ListKind.CHANGES and kind is not api.ListKind.UNAVAILABLE:
                     self.engine_states.clear()
-                    self._last_verdict = None  # the controller may be new and have no state yet
+                    self._last_snapshot = None  # the controller may be new and have no state yet
                 for entry in entries:
                     if entry.state is api.EngineState.GONE:
                         self.engine_states.pop(entry.engine, None)
                     else:
                         self.engine_states[entry.engine] = entry.state
                 up = {engine for engine, state in self.engine_states.items() if state is api.EngineState.UP}
-                self.group.listed(now, up, set(self.engine_states) - up)
+                self.group.update_engine_list(now, up, set(self.engine_states) - up)
 
     def take_events(self, now: float) -> list[api.Event]:
         """The events that the controller should get now; each change is returned once."""
-        verdict = self.group.verdict
-        last = self._last_verdict
+        snapshot = self.group.snapshot
+        last = self._last_snapshot
         events: list[api.Event] = []
-        if last is None or last.size != verdict.size:
-            events.append(api.GroupSize(verdict.size.upper_bound, verdict.size.live))
+        if last is None or last.gateways != snapshot.gateways:
+            events.append(api.GroupSize(snapshot.gateways.upper_bound, snapshot.gateways.live))
         if self.share_reports:
-            reports = (verdict.failing, verdict.draining)
+            reports = (snapshot.failing, snapshot.draining)
             last_reports = (last.failing, last.draining) if last is not None else (frozenset(), frozenset())
             if reports != last_reports or (any(reports) and now >= self._reported_at + REPEAT_INTERVAL_S):
-                events.append(api.PeerReport(*reports, verdict.until))
+                events.append(api.PeerReport(*reports, snapshot.valid_until))
                 self._reported_at = now
-        self._last_verdict = verdict
+        self._last_snapshot = snapshot
         return events
--- a/micahold/membership/member_list.py
+++ b/micahold/membership/member_list.py
@@ -25,7 +25,7 @@
 from hashlib import blake2b
 from math import inf, log, log10
 
-from micahold.membership.wire import Accusation, Record, Signed
+from micahold.membership.wire import MemberRecord, SignedStatement, SuspicionReport
 
 MIN_SUSPICION_PERIODS = 5.0  # shortest suspicion timeout: this many probe periods times log10(group size)
 MAX_SUSPICION_FACTOR = 6.0  # the longest timeout, without confirmations, is this multiple of the shortest
@@ -64,9 +64,9 @@
     max_timeout_s: float
     confirmations_needed: int
     expires_at: float = inf
-    accusers: dict[str, Signed] = field(default_factory=dict)
+    accusers: dict[str, SignedStatement] = field(default_factory=dict)
 
-    def confirm(self, accuser: str, signed: Signed) -> bool:
+    def confirm(self, accuser: str, signed: SignedStatement) -> bool:
         """Add an accusation and recompute the expiry; return whether the accuser was counted as a new one."""
         if accuser in self.accusers or len(self.accusers) >= MAX_ACCUSERS:
             return False
@@ -85,8 +85,8 @@
     """Another member, described by its newest record."""
 
     name: str
-    signed: Signed
-    record: Record
+    signed: SignedStatement
+    record: MemberRecord
     status: Status = Status.ALIVE
     status_since: float = 0.0
     last_heard: float = -inf  # time of its last datagram to this member
@@ -117,7 +117,7 @@
         self.score, self.updated_at = self.score_at(now) + 1.0, now
 
 
-def record_digest(name: str, record: Record) -> int:
+def record_digest(name: str, record: MemberRecord) -> int:
     """64-bit digest of what a record asserts: name, incarnation and whether the member left."""
     text = f"{name}\0{record.incarnation}\0{record.left:d}".encode()
     return int.from_bytes(blake2b(text, digest_size=8).digest(), "big")
@@ -190,7 +190,9 @@
                 member.suspicion = None
         return [StatusChange(member.name, before, after, reason)] if before is not after else []
 
-    def apply_record(self, now: float, signed: Signed, record: Record) -> tuple[bool, list[StatusChange]]:
+    def apply_record(
+        self, now: float, signed: SignedStatement, record: MemberRecord
+    ) -> tuple[bool, list[StatusChange]]:
         """Apply a member's record, its signature verified; return whether it was new, and the changes."""
         name = signed.origin
         after = Status.LEFT if record.left else Status.ALIVE
@@ -213,7 +215,7 @@
         return True, self._set_status(now, known, after, reason)
 
     def apply_accusation(
-        self, now: float, signed: Signed, accusation: Accusation
+        self, now: float, signed: SignedStatement, accusation: SuspicionReport
     ) -> tuple[bool, list[StatusChange]]:
         """Apply an accusation, its signature verified; return whether it was new, and the changes."""
         accuser, member = signed.origin, self.members.get(accusation.subject)
@@ -294,7 +296,7 @@
 
     # Anti-entropy exchange
 
-    def bucket_digests(self, own: tuple[str, Record]) -> bytes:
+    def bucket_digests(self, own: tuple[str, MemberRecord]) -> bytes:
         """A digest of eight bytes for each bucket of names, this member's own record included.
 
         A bucket's digest is the XOR of its records' digests, so it does not depend on their order.
@@ -305,9 +307,9 @@
         digests[name_bucket(own[0])] ^= record_digest(*own)
         return b"".join(digest.to_bytes(8, "big") for digest in digests)
 
-    def statements_in(self, buckets: Iterable[int]) -> list[Signed]:
+    def statements_in(self, buckets: Iterable[int]) -> list[SignedStatement]:
         """Records of these buckets, and up to two accusations of each member, in the order of the buckets."""
-        by_bucket: dict[int, list[Signed]] = {bucket: [] for bucket in buckets}
+        by_bucket: dict[int, list[SignedStatement]] = {bucket: [] for bucket in buckets}
         for member in self.members.values():
             if member.bucket in by_bucket:
                 by_bucket[member.bucket].append(member.signed)
