--- a/tests/build.py
+++ b/tests/build.py
@@ -1,4 +1,4 @@
-"""Hand-made settings and events for the tests."""
+"""Settings, engine lists and a simulated gateway for the tests of the controller."""
 
 from __future__ import annotations
 
@@ -43,6 +43,7 @@
 
 
 def settings(**changes: Any) -> api.Settings:
+    """Settings of two gateways with three classes and two tenants; ``changes`` replaces fields."""
     base = api.Settings(
         gateway_count=2,
         zones=("a", "b"),
@@ -56,33 +57,39 @@
 
 
 def change_class(index: int, **changes: Any) -> tuple[api.QueryClass, ...]:
-    """The usual classes with one of them changed."""
-    return tuple(replace(one, **changes) if at == index else one for at, one in enumerate(CLASSES))
+    """The default classes, with the fields of one of them replaced."""
+    return tuple(
+        replace(query_class, **changes) if class_index == index else query_class
+        for class_index, query_class in enumerate(CLASSES)
+    )
 
 
 def entry(number: int, **changes: Any) -> api.EngineEntry:
+    """The entry of engine ``e<number>``: zones and kinds alternate, and two engines share a cell."""
     return replace(
         api.EngineEntry(f"e{number}", zone=number % 2, kind=number % 2, cell=number // 2), **changes
     )
 
 
 def engines(number: int) -> api.ListUpdate:
-    return api.ListUpdate(api.ListKind.RESTORED, 1, tuple(entry(one) for one in range(number)))
+    """A whole list of engines ``e0`` to ``e<number - 1>``."""
+    return api.ListUpdate(api.ListKind.RESTORED, 1, tuple(entry(index) for index in range(number)))
 
 
 class Gateway:
-    """A controller with a clock, and the open attempts of what it has sent."""
+    """A controller with a clock and ``number`` engines, which records the attempts that it sends."""
 
     def __init__(self, number: int = 4, seed: int = 1, **changes: Any) -> None:
         self.settings = settings(**changes)
         self.controller = Controller(self.settings, seed)
         self.now = 100.0
         self.next_id = 1
-        self.attempts: dict[int, int] = {}
-        self.engine_of: dict[int, str] = {}
+        self.attempts: dict[int, int] = {}  # by query: the number of its last attempt
+        self.engine_of: dict[int, str] = {}  # by query: the engine of its last attempt
         self.tell(engines(number))
 
     def tell(self, *events: api.Event, after: float = 0.0) -> list[api.Action]:
+        """Passes one batch of events to the controller, ``after`` seconds later, and returns its actions."""
         self.now += after
         actions = self.controller.handle(self.now, events)
         for action in actions:
@@ -92,36 +99,46 @@
         return actions
 
     def query(self, query_class: int = LOOKUP, **changes: Any) -> api.QueryArrived:
+        """The arrival event of a new query, which is not passed on yet."""
         self.next_id += 1
         deadline = self.now + self.settings.classes[query_class].deadline_s
-        made = api.QueryArrived(self.next_id, query_class, 0, deadline, estimated_cost_s=0.1, table_group=1)
-        return replace(made, **changes)
+        arrival = api.QueryArrived(
+            self.next_id, query_class, 0, deadline, estimated_cost_s=0.1, table_group=1
+        )
+        return replace(arrival, **changes)
 
     def ask(self, query_class: int = LOOKUP, **changes: Any) -> tuple[int, list[api.Action]]:
+        """Passes on a new query; returns its number and the actions."""
         event = self.query(query_class, **changes)
         return event.query, self.tell(event)
 
-    def ended(self, query: int, outcome: api.Outcome, elapsed: float = 0.1, **more: Any) -> api.AttemptEnded:
+    def ended(
+        self, query: int, outcome: api.Outcome, elapsed_s: float = 0.1, **more: Any
+    ) -> api.AttemptEnded:
+        """The event that ends the last attempt of a query."""
         settled = outcome is api.Outcome.OK
         return api.AttemptEnded(
-            query, self.attempts[query], self.engine_of[query], outcome, elapsed, settled, **more
+            query, self.attempts[query], self.engine_of[query], outcome, elapsed_s, settled, **more
         )
 
     def end(self, query: int, outcome: api.Outcome, after: float = 0.1, **more: Any) -> list[api.Action]:
+        """Ends the last attempt of a query ``after`` seconds from now."""
         self.now += after
         return self.tell(self.ended(query, outcome, after, **more))
 
     def tick(self, after: float = 0.05, times: int = 1) -> list[api.Action]:
-        """Let time pass; every timer is answered."""
-        done: list[api.Action] = []
+        """Fires the timer ``times`` times, each ``after`` seconds later."""
+        actions: list[api.Action] = []
         for _ in range(times):
-            done += self.tell(api.TimerFired(1), after=after)
-        return done
+            actions += self.tell(api.TimerFired(1), after=after)
+        return actions
 
 
 def sends(actions: list[api.Action]) -> list[api.Send]:
-    return [one for one in actions if isinstance(one, api.Send)]
+    """The attempts among the actions."""
+    return [action for action in actions if isinstance(action, api.Send)]
 
 
 def finals(actions: list[api.Action]) -> list[api.Refuse | api.Fail]:
-    return [one for one in actions if isinstance(one, api.Refuse | api.Fail)]
+    """The final answers among the actions."""
+    return [action for action in actions if isinstance(action, api.Refuse | api.Fail)]
--- a/tests/test_design.py
+++ b/tests/test_design.py
@@ -1,4 +1,4 @@
-"""The design's points 1 to 4, through the controller alone."""
+"""Admission, routing, pressure, fair release and pricing: points 1 to 4 of the design."""
 
 from __future__ import annotations
 
@@ -9,41 +9,44 @@
 from tests.build import LOOKUP, REPORT, Gateway, finals, sends
 
 
-def crowd(gateway: Gateway, query_class: int = LOOKUP, number: int = 30, **changes: object) -> list[int]:
-    """Many queries at one moment; the ids of those that were sent."""
-    asked = [gateway.query(query_class, **changes) for _ in range(number)]
-    return [one.query for one in sends(gateway.tell(*asked))]
+def send_burst(gateway: Gateway, query_class: int = LOOKUP, number: int = 30, **changes: object) -> list[int]:
+    """Many queries in one batch; returns the numbers of those that were sent."""
+    arrivals = [gateway.query(query_class, **changes) for _ in range(number)]
+    return [send.query for send in sends(gateway.tell(*arrivals))]
 
 
-def press(gateway: Gateway, slowdown: float = 10.0, rounds: int = 14) -> None:
-    """Teach the controller what is usual, then that all engines are far slower than that."""
+def create_pressure(gateway: Gateway, slowdown: float = 10.0, rounds: int = 14) -> None:
+    """Lets the controller learn the usual durations, then ``slowdown`` times those on all engines."""
     for factor in (1.0, slowdown):
         for _ in range(rounds):
-            for tables in range(12):
-                query, _ = gateway.ask(estimated_cost_s=0.1, table_group=tables)
+            for table_group in range(12):
+                query, _ = gateway.ask(estimated_cost_s=0.1, table_group=table_group)
                 gateway.end(query, api.Outcome.OK, after=0.1 * factor)
 
 
-def fill(gateway: Gateway) -> None:
-    """Under pressure: ask until a query is held."""
+def ask_until_held(gateway: Gateway) -> None:
+    """Submits queries under pressure until one is held."""
     for _ in range(400):
         if not sends(gateway.ask(estimated_cost_s=0.1)[1]):
             return
-    raise AssertionError("nothing is ever held")
+    raise AssertionError("no query is held")
 
 
 def test_a_query_out_of_debt_is_sent_at_once() -> None:
     gateway = Gateway()
     query, actions = gateway.ask()
-    assert [one.query for one in sends(actions)] == [query]
+    assert [send.query for send in sends(actions)] == [query]
 
 
-def test_a_tenant_in_debt_waits_behind_others_and_still_leaves_when_there_is_room() -> None:
+def test_a_tenant_in_debt_is_released_after_others_and_still_when_there_is_room() -> None:
     gateway = Gateway(number=1)
-    gateway.ask(REPORT, estimated_cost_s=50.0)  # goes in full, far below zero
-    owing = gateway.query(tenant_index=0)
-    clear = gateway.query(tenant_index=1)
-    assert [one.query for one in sends(gateway.tell(owing, clear))] == [clear.query, owing.query]
+    gateway.ask(REPORT, estimated_cost_s=50.0)  # charged in full, which puts the tenant far into debt
+    in_debt = gateway.query(tenant_index=0)
+    out_of_debt = gateway.query(tenant_index=1)
+    assert [send.query for send in sends(gateway.tell(in_debt, out_of_debt))] == [
+        out_of_debt.query,
+        in_debt.query,
+    ]
 
 
 def test_debt_is_paid_back_at_the_rate() -> None:
@@ -54,32 +57,34 @@
         gateway.query(tenant_index=0, estimated_cost_s=0.1),
         gateway.query(tenant_index=1, estimated_cost_s=0.1),
     )
-    assert [one.query for one in sends(gateway.tell(first, second))][-1] == first.query  # by use over share
+    assert [send.query for send in sends(gateway.tell(first, second))][
+        -1
+    ] == first.query  # ordered by recent use per share
     gateway.now += 300.0
     again = gateway.query(tenant_index=0, estimated_cost_s=0.1)
-    assert [one.query for one in sends(gateway.tell(again))] == [again.query]
+    assert [send.query for send in sends(gateway.tell(again))] == [again.query]
 
 
-def test_a_table_group_keeps_to_the_first_three_of_its_order_alike_at_all_gateways() -> None:
+def test_a_table_group_uses_the_same_three_home_engines_at_all_gateways() -> None:
     homes: set[str] = set()
     for number in range(6):
         gateway = Gateway(number=8, gateway_index=number)
         for _ in range(10):
-            asked = [gateway.ask(table_group=3)[0] for _ in range(3)]
-            homes |= {gateway.engine_of[one] for one in asked}
-            for one in asked:
-                gateway.end(one, api.Outcome.OK)
+            queries = [gateway.ask(table_group=3)[0] for _ in range(3)]
+            homes |= {gateway.engine_of[query] for query in queries}
+            for query in queries:
+                gateway.end(query, api.Outcome.OK)
     assert len(homes) == 3
 
 
-def test_bounds_do_not_bind_without_pressure() -> None:
-    assert len(crowd(Gateway(number=1), number=200, estimated_cost_s=0.001)) == 200
+def test_thread_bounds_do_not_apply_without_pressure() -> None:
+    assert len(send_burst(Gateway(number=1), number=200, estimated_cost_s=0.001)) == 200
 
 
-def test_bounds_bind_under_pressure_and_free_slots_go_to_held_queries() -> None:
+def test_thread_bounds_apply_under_pressure_and_freed_slots_go_to_held_queries() -> None:
     gateway = Gateway(number=3)
-    press(gateway)
-    sent = crowd(gateway, number=400)
+    create_pressure(gateway)
+    sent = send_burst(gateway, number=400)
     assert 4 <= len(sent) < 400
     released = sends(gateway.end(sent[0], api.Outcome.OK, after=0.1))
     assert released
@@ -89,55 +94,55 @@
     gateway = Gateway(number=1)
     query, _ = gateway.ask()
     gateway.end(query, api.Outcome.FULL)
-    assert len(crowd(gateway, number=200)) < 200
+    assert len(send_burst(gateway, number=200)) < 200
 
 
-def test_a_busy_report_is_pressure() -> None:
+def test_a_busy_report_puts_an_engine_under_pressure() -> None:
     gateway = Gateway(number=1)
     query, _ = gateway.ask()
     gateway.end(query, api.Outcome.OK, report=api.LoadReport(busy_share=1.0))
-    assert len(crowd(gateway, number=200)) < 200
+    assert len(send_burst(gateway, number=200)) < 200
 
 
-def test_freed_slots_go_to_the_lowest_use_over_share() -> None:
+def test_freed_slots_go_to_the_tenant_with_the_lowest_use_per_share() -> None:
     gateway = Gateway(number=3)
-    press(gateway)  # all of it the use of tenant 0
-    fill(gateway)
+    create_pressure(gateway)  # all of it is used by tenant 0
+    ask_until_held(gateway)
     first, second = gateway.query(tenant_index=0), gateway.query(tenant_index=1)
     gateway.tell(first, second)
-    order: list[int] = []
+    released: list[int] = []
     for query in list(gateway.attempts):
-        if second.query not in order:
-            ended = gateway.controller.queries.get(query)
-            if ended is not None and ended.engine is not None:
-                order += [one.query for one in sends(gateway.end(query, api.Outcome.OK, after=0.01))]
-    assert second.query in order
-    assert first.query not in order[: order.index(second.query)]
+        if second.query not in released:
+            state = gateway.controller.queries.get(query)
+            if state is not None and state.engine is not None:
+                released += [send.query for send in sends(gateway.end(query, api.Outcome.OK, after=0.01))]
+    assert second.query in released
+    assert first.query not in released[: released.index(second.query)]
 
 
-def test_a_held_query_is_refused_once_its_wait_is_over_with_a_jittered_hint() -> None:
+def test_a_held_query_is_refused_with_a_retry_hint_when_its_wait_ends() -> None:
     gateway = Gateway(number=3)
-    press(gateway)
-    fill(gateway)
+    create_pressure(gateway)
+    ask_until_held(gateway)
     held, actions = gateway.ask()
     assert not sends(actions)
-    hints = []
+    refusals = []
     for _ in range(200):
-        hints += [one for one in finals(gateway.tick()) if one.query == held]
-    assert len(hints) == 1
-    assert isinstance(hints[0], api.Refuse)
-    assert 0 < hints[0].retry_after <= gateway.settings.limits.max_retry_after_s
+        refusals += [answer for answer in finals(gateway.tick()) if answer.query == held]
+    assert len(refusals) == 1
+    assert isinstance(refusals[0], api.Refuse)
+    assert 0 < refusals[0].retry_after <= gateway.settings.limits.max_retry_after_s
 
 
-def test_no_hint_where_clients_are_told_none() -> None:
+def test_no_retry_hint_where_none_are_allowed() -> None:
     gateway = Gateway(number=0, limits=replace(build.LIMITS, retry_hints_allowed=False))
     gateway.ask()
-    assert [one.retry_after for one in finals(gateway.tick(times=200)) if isinstance(one, api.Refuse)] == [
-        0.0
-    ]
+    assert [
+        answer.retry_after for answer in finals(gateway.tick(times=200)) if isinstance(answer, api.Refuse)
+    ] == [0.0]
 
 
-def test_a_class_without_told_costs_is_priced_by_its_learned_mean() -> None:
+def test_a_class_without_estimates_is_priced_by_its_learned_mean_cost() -> None:
     gateway = Gateway(number=1)
     for _ in range(60):
         query, _ = gateway.ask(REPORT, estimated_cost_s=None)
@@ -146,35 +151,37 @@
     assert 6.0 < gateway.controller.queries[query].estimated_cost_s < 10.0  # two seconds on four threads
 
 
-def test_a_group_that_takes_longer_for_its_cost_is_priced_higher_within_limits() -> None:
+def test_a_table_group_with_too_low_estimates_is_priced_higher_within_limits() -> None:
     gateway = Gateway(number=1)
     for _ in range(80):
-        for tables, took in ((1, 0.1), (2, 0.4)):
-            query, _ = gateway.ask(estimated_cost_s=0.1, table_group=tables)
-            gateway.end(query, api.Outcome.OK, after=took)
+        for table_group, duration_s in ((1, 0.1), (2, 0.4)):
+            query, _ = gateway.ask(estimated_cost_s=0.1, table_group=table_group)
+            gateway.end(query, api.Outcome.OK, after=duration_s)
     light, _ = gateway.ask(estimated_cost_s=0.1, table_group=1)
     heavy, _ = gateway.ask(estimated_cost_s=0.1, table_group=2)
-    prices = [gateway.controller.queries[one].price for one in (light, heavy)]
+    prices = [gateway.controller.queries[query].price for query in (light, heavy)]
     assert prices[1] > 3 * prices[0]
     assert prices[1] < 0.1 * 100
 
 
-def test_names_do_not_matter() -> None:
+def test_decisions_do_not_depend_on_the_names_of_classes_tenants_kinds_and_zones() -> None:
     def play(prefix: str) -> list[list[api.Action]]:
         gateway = Gateway(
-            classes=tuple(replace(one, name=prefix + one.name) for one in build.CLASSES),
-            tenants=tuple(replace(one, name=prefix + one.name) for one in build.TENANTS),
-            engine_kinds=tuple(replace(one, name=prefix + one.name) for one in build.KINDS),
+            classes=tuple(
+                replace(query_class, name=prefix + query_class.name) for query_class in build.CLASSES
+            ),
+            tenants=tuple(replace(tenant, name=prefix + tenant.name) for tenant in build.TENANTS),
+            engine_kinds=tuple(replace(kind, name=prefix + kind.name) for kind in build.KINDS),
             zones=(prefix + "a", prefix + "b"),
         )
-        done = []
+        batches = []
         for number in range(60):
             query, actions = gateway.ask(
                 number % 3, ordering_key=number % 2, table_group=number % 5, tenant_index=number % 2
             )
-            done.append(actions)
+            batches.append(actions)
             if query in gateway.attempts:
-                done.append(gateway.end(query, api.Outcome.OK if number % 4 else api.Outcome.ERROR))
-        return done
+                batches.append(gateway.end(query, api.Outcome.OK if number % 4 else api.Outcome.ERROR))
+        return batches
 
     assert play("") == play("other-")
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -1,4 +1,4 @@
-"""Each of the seven rules by hand-made events."""
+"""Each of the seven rules, by single events that would break it."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
     gateway = Gateway(number=0)
     query, actions = gateway.ask()
     answers = finals(actions) + finals(gateway.tick(times=99))
-    assert [one.query for one in answers] == [query]
+    assert [answer.query for answer in answers] == [query]
 
 
 def test_nothing_is_sent_for_a_query_that_its_client_has_dropped() -> None:
@@ -41,7 +41,7 @@
 def test_an_unsafe_query_that_never_ran_may_be_sent_again(outcome: api.Outcome) -> None:
     gateway = Gateway(classes=build.change_class(LOOKUP, repeat_safety=api.RepeatSafety.UNSAFE))
     query, _ = gateway.ask()
-    assert [one.query for one in sends(gateway.end(query, outcome))] == [query]
+    assert [send.query for send in sends(gateway.end(query, outcome))] == [query]
 
 
 @pytest.mark.parametrize("scope", [api.DedupScope.ZONE, api.DedupScope.CELL])
@@ -64,11 +64,11 @@
     query, _ = gateway.ask()
     actions = gateway.end(query, api.Outcome.ERROR, after=1.5)
     assert not sends(actions)
-    assert [one.query for one in finals(actions)] == [query]
+    assert [answer.query for answer in finals(actions)] == [query]
 
 
 @pytest.mark.parametrize("state", [api.EngineState.DRAINING, api.EngineState.GONE])
-def test_nothing_new_goes_to_an_engine_that_leaves(state: api.EngineState) -> None:
+def test_an_engine_that_is_draining_or_gone_gets_no_new_query(state: api.EngineState) -> None:
     gateway = Gateway(number=2)
     gateway.tell(api.ListUpdate(api.ListKind.CHANGES, 2, (build.entry(0, state=state),)))
     for _ in range(20):
@@ -84,11 +84,11 @@
         assert gateway.engine_of[query] == "e1"
 
 
-def test_a_cold_engine_is_sent_no_more_than_this_gateways_part() -> None:
+def test_a_cold_engine_is_sent_no_more_than_the_part_of_this_gateway() -> None:
     gateway = Gateway(number=1)
     gateway.tell(api.ListUpdate(api.ListKind.CHANGES, 2, (build.entry(0, started_at=gateway.now - 0.1),)))
     rules = gateway.settings.rules
-    part = (
+    max_work_s = (
         rules.cold_budget_multiple
         * rules.cold_initial_speed
         * 16
@@ -96,10 +96,10 @@
         / gateway.settings.gateway_count
     )
     sent = sends(gateway.tell(*(gateway.query(estimated_cost_s=0.1) for _ in range(300))))
-    assert 0 < len(sent) * 0.1 <= part
+    assert 0 < len(sent) * 0.1 <= max_work_s
 
 
-def test_loads_of_one_key_run_one_at_a_time_and_rest_after_a_doubtful_end() -> None:
+def test_data_loads_of_one_key_run_one_at_a_time_and_rest_after_an_attempt_that_may_still_run() -> None:
     gateway = Gateway(rules=replace(build.RULES, order_settle_s=0.4))
     first, _ = gateway.ask(LOAD, ordering_key=7)
     second, actions = gateway.ask(LOAD, ordering_key=7)
@@ -107,22 +107,22 @@
     gateway.tell(api.QueryDropped(first))
     assert not sends(gateway.end(first, api.Outcome.TIMEOUT))
     assert not sends(gateway.tick(times=7))
-    assert [one.query for one in sends(gateway.tick(times=3))] == [second]
+    assert [send.query for send in sends(gateway.tick(times=3))] == [second]
 
 
-def test_a_bound_class_is_held_when_its_engines_are_gone() -> None:
+def test_a_class_with_allowed_kinds_is_held_when_engines_of_those_kinds_are_gone() -> None:
     gateway = Gateway(number=4, classes=build.change_class(LOOKUP, allowed_kinds=frozenset({0})))
-    leaving = tuple(build.entry(one, state=api.EngineState.GONE) for one in (0, 2))
+    leaving = tuple(build.entry(number, state=api.EngineState.GONE) for number in (0, 2))
     gateway.tell(api.ListUpdate(api.ListKind.CHANGES, 2, leaving))
     query, actions = gateway.ask()
     actions += gateway.tick(times=99)
     assert not sends(actions)
-    assert [one.query for one in finals(actions)] == [query]
+    assert [answer.query for answer in finals(actions)] == [query]
 
 
-def test_further_attempts_stay_within_their_ration() -> None:
+def test_further_attempts_stay_within_the_retry_budget() -> None:
     rules = replace(build.RULES, retry_window_s=5.0, retry_budget_floor=2.0, retry_budget_ratio=0.1)
     gateway = Gateway(rules=rules)
-    asked = [gateway.ask()[0] for _ in range(10)]
-    again = sum(len(sends(gateway.end(query, api.Outcome.FULL, after=0.01))) for query in asked)
-    assert again == 3
+    queries = [gateway.ask()[0] for _ in range(10)]
+    further_attempts = sum(len(sends(gateway.end(query, api.Outcome.FULL, after=0.01))) for query in queries)
+    assert further_attempts == 3
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -1,4 +1,4 @@
-"""What must hold where gateways and engines are many, through the controller alone."""
+"""Behaviour with many gateways and many engines, through the controller alone."""
 
 from __future__ import annotations
 
@@ -14,24 +14,24 @@
 from tests.build import LOOKUP, REPORT, Gateway, finals, sends
 
 
-class Looked:
-    """Counts how often any part of an engine's view is looked at."""
+class AttributeReads:
+    """Counts the attribute reads of all engine views."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         self.count = 0
-        plain = EngineView.__getattribute__
+        original = EngineView.__getattribute__
 
         def counted(view: EngineView, name: str) -> Any:
             self.count += 1
-            return plain(view, name)
+            return original(view, name)
 
         monkeypatch.setattr(EngineView, "__getattribute__", counted)
 
 
-def play(gateway: Gateway, number: int = 60) -> None:
-    """Ordinary traffic: queries, answers, notes and ticks."""
-    for at in range(number):
-        query, _ = gateway.ask(at % 2, table_group=at % 7)
+def run_traffic(gateway: Gateway, number: int = 60) -> None:
+    """Ordinary traffic: queries, status messages, ticks and successful ends."""
+    for index in range(number):
+        query, _ = gateway.ask(index % 2, table_group=index % 7)
         engine = gateway.engine_of[query]
         gateway.tell(api.AttemptStatus(query, 0, engine, api.AttemptStatusKind.PROGRESS, 0.5), after=0.05)
         gateway.tick()
@@ -41,96 +41,96 @@
 def test_work_for_a_query_and_its_outcome_does_not_grow_with_the_fleet(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Each query, answer and tick looked at every engine: days with many gateways were cut off."""
-    looked = Looked(monkeypatch)
+    """Guards against visiting every engine at each query, answer and tick in a large fleet."""
+    reads = AttributeReads(monkeypatch)
     counts = []
     for number in (8, 800):
         gateway = Gateway(number=number, gateway_count=number * 6)
-        play(gateway)  # the hash orders are made once
-        before = looked.count
-        play(gateway)
-        counts.append(looked.count - before)
+        run_traffic(gateway)  # computes the hash orders, which happens once
+        before = reads.count
+        run_traffic(gateway)
+        counts.append(reads.count - before)
     assert counts[1] <= counts[0] * 1.2
 
 
 def test_an_idle_gateway_sets_no_timer_and_a_busy_one_sets_one_at_a_time() -> None:
     gateway = Gateway()
-    timers = [one for one in gateway.tick() if isinstance(one, api.SetTimer)]
+    timers = [action for action in gateway.tick() if isinstance(action, api.SetTimer)]
     assert not timers
     for _ in range(10):
-        timers += [one for one in gateway.ask()[1] if isinstance(one, api.SetTimer)]
+        timers += [action for action in gateway.ask()[1] if isinstance(action, api.SetTimer)]
     assert len(timers) == 1
 
 
-def test_a_timer_that_fires_a_moment_early_is_set_anew() -> None:
-    """A due time that was rounded down left the gateway without a timer, and held queries were lost."""
+def test_a_timer_that_fires_slightly_early_is_set_again() -> None:
+    """Guards against lost held queries: a due time rounded down left the gateway without a timer."""
     gateway = Gateway(number=0)
     query, actions = gateway.ask()
     for _ in range(400):
-        delays = [one.delay for one in actions if isinstance(one, api.SetTimer)]
+        delays = [action.delay for action in actions if isinstance(action, api.SetTimer)]
         if not delays:
             break
         actions = gateway.tell(api.TimerFired(1), after=delays[-1] - 1e-9)
         if finals(actions):
             break
-    assert [one.query for one in finals(actions)] == [query]
+    assert [answer.query for answer in finals(actions)] == [query]
 
 
 @pytest.mark.parametrize("outcome", [api.Outcome.CONNECT_FAILED, api.Outcome.RESET, api.Outcome.TIMEOUT])
 def test_an_engine_back_from_quarantine_gets_one_query_until_it_answers(outcome: api.Outcome) -> None:
-    """Quarantine ends by time; a crowd let in at once would be lost on an engine that is still dead."""
+    """Quarantine ends by time alone, and queries sent at once would be lost if the engine still fails."""
     gateway = Gateway(number=2)
     query, _ = gateway.ask(LOOKUP)
-    bad = gateway.engine_of[query]
+    failed = gateway.engine_of[query]
     gateway.end(query, outcome, after=4.0)
-    assert bad not in {gateway.engine_of[gateway.ask()[0]] for _ in range(10)}
+    assert failed not in {gateway.engine_of[gateway.ask()[0]] for _ in range(10)}
     gateway.tick(after=12.0)
-    crowd = sends(gateway.tell(*(gateway.query(REPORT) for _ in range(30))))
-    (trial,) = [one.query for one in crowd if one.engine == bad]
+    burst = sends(gateway.tell(*(gateway.query(REPORT) for _ in range(30))))
+    (trial,) = [send.query for send in burst if send.engine == failed]
     gateway.end(trial, api.Outcome.OK)
-    crowd = sends(gateway.tell(*(gateway.query(REPORT) for _ in range(30))))
-    assert [one.engine for one in crowd].count(bad) > 1
+    burst = sends(gateway.tell(*(gateway.query(REPORT) for _ in range(30))))
+    assert [send.engine for send in burst].count(failed) > 1
 
 
 def test_a_gateway_among_many_still_sends_its_queries() -> None:
     gateway = Gateway(number=30, gateway_count=250)
-    for tables in range(20):
-        query, actions = gateway.ask(REPORT, estimated_cost_s=4.0, table_group=tables)
-        assert [one.query for one in sends(actions)] == [query]
+    for table_group in range(20):
+        query, actions = gateway.ask(REPORT, estimated_cost_s=4.0, table_group=table_group)
+        assert [send.query for send in sends(actions)] == [query]
 
 
-def test_quiet_gateways_do_not_pile_on_the_same_home() -> None:
-    """Homes are alike at all gateways, and at a quiet one each looks idle: all took the first."""
-    firsts = []
+def test_gateways_with_little_traffic_do_not_all_choose_the_same_home_engine() -> None:
+    """Homes are the same at all gateways and look idle to each of them, so all chose the first."""
+    chosen = []
     for number in range(30):
         gateway = Gateway(number=9, gateway_index=number, gateway_count=60)
-        firsts.append(gateway.engine_of[gateway.ask(table_group=5)[0]])
-    assert all(firsts.count(one) == 10 for one in set(firsts))
-    assert len(set(firsts)) == 3
+        chosen.append(gateway.engine_of[gateway.ask(table_group=5)[0]])
+    assert all(chosen.count(engine) == 10 for engine in set(chosen))
+    assert len(set(chosen)) == 3
 
 
-def test_an_engine_that_others_crowd_is_passed_over_by_its_report() -> None:
-    """A gateway among many sees little of an engine by its own queries; reports tell of the others'."""
+def test_an_engine_busy_with_queries_of_other_gateways_is_avoided_by_its_load_report() -> None:
+    """A gateway among many sees little of an engine's load by its own queries."""
     gateway = Gateway(number=9, gateway_count=60)
     query, _ = gateway.ask()
-    crowded = gateway.engine_of[query]
+    loaded = gateway.engine_of[query]
     gateway.end(query, api.Outcome.OK, report=api.LoadReport(busy_share=0.9, in_flight=60))
-    assert gateway.engine_of[gateway.ask()[0]] != crowded
+    assert gateway.engine_of[gateway.ask()[0]] != loaded
 
 
-def test_a_busy_report_is_believed_until_a_better_one() -> None:
-    """Where a gateway hears from an engine every few seconds, a belief of one second forgot the pressure."""
-    for later, most in ((None, 20), (api.LoadReport(busy_share=0.3), 60)):
+def test_a_busy_report_counts_until_a_better_one() -> None:
+    """Guards against forgetting pressure after one second, when reports come only every few seconds."""
+    for later_report, max_sent in ((None, 20), (api.LoadReport(busy_share=0.3), 60)):
         gateway = Gateway(number=1)
         first, second = gateway.ask()[0], gateway.ask()[0]
         gateway.end(first, api.Outcome.OK, report=api.LoadReport(busy_share=1.0))
-        gateway.end(second, api.Outcome.OK, after=2.0, report=later)
-        assert (len(sends(gateway.tell(*(gateway.query() for _ in range(60))))) == 60) is (most == 60)
+        gateway.end(second, api.Outcome.OK, after=2.0, report=later_report)
+        assert (len(sends(gateway.tell(*(gateway.query() for _ in range(60))))) == 60) is (max_sent == 60)
 
 
 @pytest.mark.parametrize("outcome", [api.Outcome.TIMEOUT, api.Outcome.OK])
-def test_work_that_its_client_has_left_is_called_off(outcome: api.Outcome) -> None:
-    """Clients left early and asked again; engines went on with both."""
+def test_the_attempt_of_a_dropped_query_is_cancelled(outcome: api.Outcome) -> None:
+    """Guards against engines that run both the abandoned query and its repeat by the client."""
     gateway = Gateway()
     query, _ = gateway.ask()
     assert api.Cancel(query, 0) in gateway.tell(api.QueryDropped(query))
@@ -138,7 +138,7 @@
 
 
 def cold_work(gateways: int, cost: float, seconds: float, per_second: float) -> list[tuple[float, float]]:
-    """When, and how much, all gateways of a fleet send to the one engine there is, which is cold."""
+    """When, and how much work, the gateways of a fleet send to its only engine, which is cold."""
     sent = []
     for number in range(gateways):
         gateway = Gateway(number=1, seed=number, gateway_index=number, gateway_count=gateways)
@@ -146,60 +146,64 @@
         gateway.tell(api.ListUpdate(api.ListKind.CHANGES, 2, (build.entry(0, started_at=start),)))
         for _ in range(int(seconds * per_second)):
             actions = gateway.ask(estimated_cost_s=cost)[1] + gateway.tick(after=0.0)
-            while out := sends(actions):
-                sent += [(gateway.now - start, cost) for _ in out]
-                actions = gateway.tell(*(gateway.ended(one.query, api.Outcome.OK, cost) for one in out))
+            while attempts := sends(actions):
+                sent += [(gateway.now - start, cost) for _ in attempts]
+                actions = gateway.tell(
+                    *(gateway.ended(send.query, api.Outcome.OK, cost) for send in attempts)
+                )
             gateway.now += 1.0 / per_second
     return sorted(sent)
 
 
 @pytest.mark.parametrize("cost", [0.05, 0.5, 0.85])
-def test_many_gateways_neither_starve_a_cold_engine_nor_push_it_over(cost: float) -> None:
-    """An even part was less than one query: cold engines got nothing until they were warm."""
+def test_many_gateways_neither_starve_nor_overload_a_cold_engine(cost: float) -> None:
+    """Guards against an even part smaller than one query: a cold engine got nothing until it was warm."""
     rules = build.RULES
     total = rules.cold_budget_multiple * rules.cold_initial_speed * 16 * rules.cold_window_s
     sent = cold_work(gateways=120, cost=cost, seconds=8.0, per_second=4.0)
-    windows = [sum(work for at, work in sent if start <= at < start + 1.0) for start in range(8)]
+    windows = [
+        sum(work_s for sent_at, work_s in sent if start <= sent_at < start + 1.0) for start in range(8)
+    ]
     assert max(windows) < total
     assert sum(windows) / len(windows) > total * 0.15
 
 
-def test_a_query_too_large_for_any_lot_is_not_sent_to_a_cold_engine() -> None:
+def test_a_query_too_large_for_the_random_draw_is_not_sent_to_a_cold_engine() -> None:
     assert not cold_work(gateways=40, cost=10.0, seconds=5.0, per_second=2.0)
 
 
-def test_a_full_engine_is_left_alone_ever_longer_until_it_answers() -> None:
-    """Quiet gateways each tried a full engine again at once: most attempts were turned away as full."""
+def test_the_backoff_from_a_full_engine_grows_until_it_answers() -> None:
+    """Guards against gateways with little traffic that each retry a full engine at once, mostly in vain."""
     gateway = Gateway(number=1, limits=replace(build.LIMITS, max_attempts=100))
     query, _ = gateway.ask(REPORT)
-    tries: list[float] = []
+    sent_at: list[float] = []
     for _ in range(200):
-        if gateway.attempts[query] + 1 > len(tries):
-            tries.append(gateway.now)
+        if gateway.attempts[query] + 1 > len(sent_at):
+            sent_at.append(gateway.now)
             gateway.end(query, api.Outcome.FULL, after=0.0)
         gateway.tick()
-    gaps = [later - earlier for earlier, later in pairwise(tries)]
-    assert 2 <= len(tries) <= 12
+    gaps = [later - earlier for earlier, later in pairwise(sent_at)]
+    assert 2 <= len(sent_at) <= 12
     assert max(gaps) > 2 * gaps[0]
 
 
-def jam(outcome: api.Outcome, gateways: int) -> int:
-    """Attempts end as said on engines that still give signs; how many of a crowd are sent then."""
+def sent_after_outcomes(outcome: api.Outcome, gateways: int) -> int:
+    """Ends attempts with ``outcome`` on responding engines; returns how many of 60 queries are then sent."""
     gateway = Gateway(number=10, gateway_count=gateways, limits=replace(build.LIMITS, max_attempts=1))
-    for at in range(40):
-        query, _ = gateway.ask(table_group=at)
-        note = api.AttemptStatus(query, 0, gateway.engine_of[query], api.AttemptStatusKind.SPILLING, 9.0)
-        gateway.tell(note, after=1.0)
+    for table_group in range(40):
+        query, _ = gateway.ask(table_group=table_group)
+        status = api.AttemptStatus(query, 0, gateway.engine_of[query], api.AttemptStatusKind.SPILLING, 9.0)
+        gateway.tell(status, after=1.0)
         gateway.end(query, outcome, after=3.0)
         gateway.tick(after=12.0)
-    return len(sends(gateway.tell(*(gateway.query(table_group=one) for one in range(60)))))
+    return len(sends(gateway.tell(*(gateway.query(table_group=table_group) for table_group in range(60)))))
 
 
-def test_in_a_jam_a_gateway_among_many_keeps_to_part_of_its_even_bound() -> None:
-    """One query from each of many gateways on each engine kept a jam going for the rest of the day."""
-    assert jam(api.Outcome.TIMEOUT, gateways=60) <= 2
-    assert jam(api.Outcome.OK, gateways=60) > 10
+def test_in_congestion_a_gateway_among_many_uses_part_of_its_even_bound() -> None:
+    """Guards against congestion that is kept up for hours by one query per gateway on each engine."""
+    assert sent_after_outcomes(api.Outcome.TIMEOUT, gateways=60) <= 2
+    assert sent_after_outcomes(api.Outcome.OK, gateways=60) > 10
 
 
-def test_a_jam_binds_no_gateway_among_few() -> None:
-    assert jam(api.Outcome.TIMEOUT, gateways=2) > 10
+def test_congestion_limits_no_gateway_among_few() -> None:
+    assert sent_after_outcomes(api.Outcome.TIMEOUT, gateways=2) > 10
