--- a/micahold/controller.py
+++ b/micahold/controller.py
@@ -808,6 +808,7 @@
         """Prices a new query and holds it for release, or gives it up where too many queries are open."""
         query_class = self.settings.classes[event.class_index]
         self.retry_budget.arrivals.append(self.now)
+        # Without an estimate and before any run, the soft deadline is the only scale of the class's cost.
         cost_s = (
             event.estimated_cost_s
             or self.calibration.class_cost_s[event.class_index].mean
@@ -842,7 +843,8 @@
         Each call enters the wait anew: a query that is held again after its first wait has ended would
         otherwise never be answered.
         """
-        # Given up at once if it can't end in time even with an estimate far too high: it would delay others.
+        # Given up at once if it can't end in time even with an estimate too high by twice the usual
+        # deviation: it would delay others in vain.
         estimate_margin = math.exp(-2 * self.calibration.log_ratio_spread[query.arrival.class_index].mean)
         if self.now + query.expected_s * estimate_margin > query.arrival.deadline:
             return self.give_up(query, api.GiveUpReason.DEADLINE_UNREACHABLE)
