--- a/micahold/__main__.py
+++ b/micahold/__main__.py
@@ -1,6 +1,7 @@
-"""With no argument the front, from the configuration that ``NODE_CONFIG`` names; else a sub-command.
+"""Without arguments, starts the front that ``NODE_CONFIG`` configures; otherwise runs a sub-command.
 
-Neither side imports the other: a front loads no command line, a command no reactor it does not need.
+Neither imports the other: a front does not load the command line, and a command loads no reactor that it does
+not need.
 """
 
 from __future__ import annotations
@@ -9,13 +10,16 @@
 
 
 def main() -> int:
-    """Exit code; see ``micahold.program.start`` for the front's and ``micahold --help`` for the commands'."""
+    """Run the front or a sub-command and return the exit code.
+
+    ``micahold.program.start`` documents the codes of the front, ``micahold --help`` the commands.
+    """
     if len(sys.argv) > 1:
         try:
             from micahold.commands.cli import run
-        except ModuleNotFoundError as problem:
+        except ModuleNotFoundError as error:
             print(
-                f"micahold: {problem.name} is missing: pip install 'micahold[operator]'",
+                f"micahold: {error.name} is missing: pip install 'micahold[operator]'",
                 file=sys.stderr,
                 flush=True,
             )
--- a/micahold/commands/__init__.py
+++ b/micahold/commands/__init__.py
@@ -1,1 +1,1 @@
-"""The command line: one file a sub-command; each imports its subsystem only when it is called."""
+"""The command line: one module per sub-command; each imports its subsystem only when it is called."""
--- a/micahold/commands/cli.py
+++ b/micahold/commands/cli.py
@@ -1,4 +1,4 @@
-"""``micahold COMMAND``: the group of sub-commands, loaded by name when they are asked for."""
+"""``micahold COMMAND``: the group of sub-commands, whose modules are imported by name on demand."""
 
 from __future__ import annotations
 
@@ -8,20 +8,22 @@
 import click
 
 COMMANDS = {
-    "check": "every error of the operator's own file, in one pass",
+    "check": "check the operator's own file and report all errors",
     "keys": "make, list, add and retire the keys of gossip members",
-    "members": "what a running front knows of its group",
-    "trial": "experiments that print the figures of a subsystem",
+    "members": "show the group membership as a running front sees it",
+    "trial": "run experiments that measure a subsystem in simulation",
 }
 
 
 class LazyGroup(click.Group):
-    """Imports a sub-command's module when it is called or its help is asked for."""
+    """Imports the module of a sub-command when the command or its help is requested."""
 
     def list_commands(self, context: click.Context) -> list[str]:
+        """The names of all sub-commands, sorted."""
         return sorted(COMMANDS)
 
     def get_command(self, context: click.Context, name: str) -> click.Command | None:
+        """The ``command`` of the module called ``name``; None for unknown names."""
         if name not in COMMANDS:
             return None
         module = importlib.import_module(f"micahold.commands.{name}")
@@ -29,6 +31,7 @@
         return command
 
     def format_commands(self, context: click.Context, formatter: click.HelpFormatter) -> None:
+        """Write the help of the group from ``COMMANDS``, without importing the modules."""
         with formatter.section("Commands"):
             formatter.write_dl(sorted(COMMANDS.items()))
 
@@ -38,24 +41,24 @@
 def main() -> None:
     """An admission controller for queries on a pool of engines.
 
-    Without a command the front starts, with the configuration that NODE_CONFIG names.
+    Without a command, the front starts with the configuration that NODE_CONFIG names.
     """
 
 
 def run() -> int:
-    """Exit code: 0 done, 1 something is wrong with what was asked about, 2 it could not be asked."""
+    """Run the command line; the exit code is 0 for success, 1 for an error found, 2 for an unusable call."""
     try:
         main.main(prog_name="micahold", standalone_mode=False)
-    except click.ClickException as problem:
-        problem.show()
-        return problem.exit_code
+    except click.ClickException as error:
+        error.show()
+        return error.exit_code
     except click.Abort:
         return 130
-    except click.exceptions.Exit as end:
-        return end.exit_code
-    except ModuleNotFoundError as problem:
-        extra = {"numpy": "lab", "scipy": "lab", "hdrh": "lab", "cryptography": "gossip"}
-        wanted = extra.get((problem.name or "").partition(".")[0], "operator")
-        print(f"micahold: {problem.name} is missing: pip install 'micahold[{wanted}]'", file=sys.stderr)
+    except click.exceptions.Exit as exit_request:
+        return exit_request.exit_code
+    except ModuleNotFoundError as error:
+        extra_of_package = {"numpy": "lab", "scipy": "lab", "hdrh": "lab", "cryptography": "gossip"}
+        extra = extra_of_package.get((error.name or "").partition(".")[0], "operator")
+        print(f"micahold: {error.name} is missing: pip install 'micahold[{extra}]'", file=sys.stderr)
         return 2
     return 0
--- a/micahold/commands/keys.py
+++ b/micahold/commands/keys.py
@@ -1,4 +1,4 @@
-"""``micahold keys``: the keys of gossip members, from their making to their end."""
+"""``micahold keys``: creates, distributes, lists and retires the keys of gossip members."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 OWN = click.option("--own", required=True, type=click.Path(dir_okay=False), help="The member's own key file.")
 MEMBERS = click.option(
-    "--members", required=True, type=click.Path(dir_okay=False), help="The file of all members' public keys."
+    "--members", required=True, type=click.Path(dir_okay=False), help="The file of all public keys."
 )
 
 
@@ -31,116 +31,122 @@
 def command() -> None:
     """Make, list, add and retire the keys of gossip members.
 
-    To change a key in service: `make` a second one, give its public line to all members with `trust`, send
-    all of them SIGHUP, then the owner; a while later `retire` the old one everywhere, and SIGHUP again.
+    To replace a key in service: `make` a second one, add its public part to the file of all members with
+    `trust`, and send SIGHUP to all other members, then to its owner. Later, `retire` the old key in all files
+    and send SIGHUP again.
     """
 
 
-def _own(path: str) -> list[OwnKey]:
+def _read_own_keys(path: str) -> list[OwnKey]:
     return read_own(path) if Path(path).exists() else []
 
 
-def _members(path: str) -> list[PublicKey]:
+def _read_public_keys(path: str) -> list[PublicKey]:
     if not Path(path).exists():
         return []
-    return [one for keys in read_members(path).keys.values() for one in keys.values()]
+    return [key for keys in read_members(path).keys.values() for key in keys.values()]
 
 
-def _fail(problem: KeyFileError) -> click.ClickException:
-    return click.ClickException(str(problem))
+def _command_error(error: KeyFileError) -> click.ClickException:
+    return click.ClickException(str(error))
 
 
 @command.command("make")
 @OWN
-@click.option("--id", "name", default=None, help="The key's id; by default k1, k2, ...")
+@click.option("--id", "name", default=None, help="The key's id; by default the first free of k1, k2, ...")
 @click.option(
-    "--lasts", default=None, metavar="TIME", help="Its validity, such as 90d; by default without end."
+    "--lasts", default=None, metavar="TIME", help="Its validity, such as 90d; unlimited by default."
 )
 def make(own: str, name: str | None, lasts: str | None) -> None:
-    """Make a key and add it to the member's own file, which only its owner can read."""
+    """Make a key and add it to the member's own key file, which only the file's owner can read."""
     try:
-        keys = _own(own)
-        names = {one.key for one in keys}
-        chosen = name or next(f"k{at}" for at in range(1, len(keys) + 2) if f"k{at}" not in names)
-        if chosen in names:
-            raise KeyFileError(f"{own}: has a key {chosen} already")
+        keys = _read_own_keys(own)
+        ids = {key.key for key in keys}
+        new_id = name or next(f"k{number}" for number in range(1, len(keys) + 2) if f"k{number}" not in ids)
+        if new_id in ids:
+            raise KeyFileError(f"{own}: already has a key {new_id}")
         now = datetime.now(UTC)
         until = float("inf")
         if lasts is not None:
             try:
                 until = (now + timedelta(seconds=units.duration(lasts))).timestamp()
-            except ValueError as problem:
-                raise click.UsageError(f"--lasts: expected {problem}") from None
-        write_own(own, [*keys, make_key(chosen, now.timestamp() if keys else 0.0, until)])
-    except KeyFileError as problem:
-        raise _fail(problem) from None
-    click.echo(f"{own}: key {chosen} made")
+            except ValueError as error:
+                raise click.UsageError(f"--lasts: expected {error}") from None
+        write_own(own, [*keys, make_key(new_id, now.timestamp() if keys else 0.0, until)])
+    except KeyFileError as error:
+        raise _command_error(error) from None
+    click.echo(f"{own}: key {new_id} made")
 
 
 @command.command("trust")
 @OWN
 @MEMBERS
-@click.option("--name", required=True, help="The member whose keys these are.")
+@click.option("--name", required=True, help="The member that owns the keys.")
 def trust(own: str, members: str, name: str) -> None:
-    """Put the public parts of a member's own keys into the file of all members."""
+    """Put the public parts of a member's own keys into the file of all members, in place of its old ones."""
     try:
-        mine = [one.public(name) for one in read_own(own)]
-        others = [one for one in _members(members) if one.member != name]
-        write_members(members, [*others, *mine])
-    except KeyFileError as problem:
-        raise _fail(problem) from None
-    click.echo(f"{members}: {name} with {len(mine)} keys")
+        own_public = [key.public(name) for key in read_own(own)]
+        others = [key for key in _read_public_keys(members) if key.member != name]
+        write_members(members, [*others, *own_public])
+    except KeyFileError as error:
+        raise _command_error(error) from None
+    click.echo(f"{members}: {name} with {len(own_public)} keys")
 
 
 @command.command("retire")
 @MEMBERS
 @click.option(
-    "--own", default=None, type=click.Path(dir_okay=False), help="Take it out of this file as well."
+    "--own",
+    default=None,
+    type=click.Path(dir_okay=False),
+    help="Own key file to remove the key from as well.",
 )
 @click.option("--name", required=True, help="The member.")
-@click.option("--id", "key", default=None, help="The key; all of the member's if not given.")
+@click.option("--id", "key", default=None, help="The key's id; by default all keys of the member.")
 def retire(members: str, own: str | None, name: str, key: str | None) -> None:
-    """Take a member's key, or the member, out of the file of all members."""
+    """Remove a key of a member, or all of its keys, from the file of all members."""
     try:
-        before = _members(members)
-        after = [one for one in before if one.member != name or (key is not None and one.key != key)]
+        before = _read_public_keys(members)
+        after = [
+            public for public in before if public.member != name or (key is not None and public.key != key)
+        ]
         if len(after) == len(before):
             raise KeyFileError(f"{members}: no such key")
         write_members(members, after)
         if own is not None and key is not None:
-            left = [one for one in read_own(own) if one.key != key]
-            if not left:
-                raise KeyFileError(f"{own}: {key} is its only key")
-            write_own(own, left)
-    except KeyFileError as problem:
-        raise _fail(problem) from None
+            remaining = [own_key for own_key in read_own(own) if own_key.key != key]
+            if not remaining:
+                raise KeyFileError(f"{own}: {key} is the only key in it")
+            write_own(own, remaining)
+    except KeyFileError as error:
+        raise _command_error(error) from None
     click.echo(f"{members}: {len(before) - len(after)} retired")
 
 
 @command.command("list")
 @MEMBERS
-@click.option("--json", "as_json", is_flag=True, help="One JSON array instead of a table.")
+@click.option("--json", "as_json", is_flag=True, help="Print one JSON array instead of a table.")
 def show(members: str, as_json: bool) -> None:
-    """List the keys of all members with their validity."""
+    """List the public keys of all members with their validity."""
     try:
-        keys = _members(members)
-    except KeyFileError as problem:
-        raise _fail(problem) from None
+        keys = _read_public_keys(members)
+    except KeyFileError as error:
+        raise _command_error(error) from None
     now = datetime.now(UTC).timestamp()
 
-    def state(one: PublicKey) -> str:
-        return "not yet" if now < one.since else "expired" if now >= one.until else "valid"
+    def state(key: PublicKey) -> str:
+        return "not yet" if now < key.since else "expired" if now >= key.until else "valid"
 
-    def moment(at: float) -> str | None:
-        if at in (0.0, float("inf")):
+    def format_time(unix_s: float) -> str | None:
+        if unix_s in (0.0, float("inf")):
             return None
-        return datetime.fromtimestamp(at, UTC).isoformat(timespec="seconds")
+        return datetime.fromtimestamp(unix_s, UTC).isoformat(timespec="seconds")
 
     if as_json:
         rows = [
-            {"member": one.member, "key": one.key, "state": state(one), "since": moment(one.since),
-             "until": moment(one.until), "public": base64.b64encode(one.public).decode()}
-            for one in keys
+            {"member": key.member, "key": key.key, "state": state(key), "since": format_time(key.since),
+             "until": format_time(key.until), "public": base64.b64encode(key.public).decode()}
+            for key in keys
         ]  # fmt: skip
         click.echo(orjson.dumps(rows))
         return
@@ -148,6 +154,8 @@
     from rich.table import Table
 
     table = Table("member", "key", "state", "since", "until")
-    for one in keys:
-        table.add_row(one.member, one.key, state(one), moment(one.since) or "", moment(one.until) or "")
+    for key in keys:
+        table.add_row(
+            key.member, key.key, state(key), format_time(key.since) or "", format_time(key.until) or ""
+        )
     Console().print(table)
--- a/micahold/commands/members.py
+++ b/micahold/commands/members.py
@@ -1,4 +1,4 @@
-"""``micahold members``: ask a running front what it knows of its group."""
+"""``micahold members``: shows the group membership as a running front sees it."""
 
 from __future__ import annotations
 
@@ -14,50 +14,56 @@
 from micahold.membership.signing import Hand, KeyFileError, read_own
 from micahold.program.operator_file import OperatorFileError, read_settings_file
 
-ANSWER_S, MOST_ANSWER = 5.0, 1 << 24
+ANSWER_TIMEOUT_S = 5.0
+MAX_ANSWER_BYTES = 1 << 24
 
 
-def ask(address: tuple[str, int], name: str, hand: Hand) -> dict[str, Any]:
-    """The answer of the member at ``address``; ``OSError`` where it can't be had."""
+def request_view(address: tuple[str, int], name: str, hand: Hand) -> dict[str, Any]:
+    """The view of the member at ``address``; ``OSError`` where it does not answer.
+
+    The request is signed with ``hand`` in the name of ``name``, since a front answers its own member only.
+    """
     now = time.time()
     body = wire.encode(wire.Packet(name, 0, 0, int(now * 1000), (wire.View(),), ()))
     key, _ = hand.sign(now, b"")
     key, signature = hand.sign(now, wire.signed_bytes(wire.Kind.PACKET, name, key, body))
     frame = wire.encode(wire.Signed(wire.Kind.PACKET, name, key, body, signature))
-    with socket.create_connection(address, ANSWER_S) as connection:
+    with socket.create_connection(address, ANSWER_TIMEOUT_S) as connection:
         connection.sendall(len(frame).to_bytes(4, "big") + frame)
         data = bytearray()
         while len(data) < 4 or len(data) < 4 + int.from_bytes(data[:4], "big"):
-            more = connection.recv(65536)
-            if not more or len(data) > MOST_ANSWER:
-                raise OSError("the connection ended without an answer: another name or key than the front's?")
-            data += more
+            received = connection.recv(65536)
+            if not received or len(data) > MAX_ANSWER_BYTES:
+                raise OSError(
+                    "connection closed without an answer: check that name and key are those of the front"
+                )
+            data += received
     answer: dict[str, Any] = orjson.loads(bytes(data[4:]))
     return answer
 
 
 @click.command("members")
 @click.argument("file", required=False)
-@click.option("--name", default=None, help="The member's name, where the file does not say it.")
-@click.option("--json", "as_json", is_flag=True, help="The whole answer as one JSON object.")
+@click.option("--name", default=None, help="The member's name, if the file does not set it.")
+@click.option("--json", "as_json", is_flag=True, help="Print the whole answer as one JSON object.")
 def command(file: str | None, name: str | None, as_json: bool) -> None:
-    """Ask the front whose operator's FILE this is (by default MICAHOLD_OPERATOR) about its group."""
+    """Show the group as the front with this operator's FILE (by default MICAHOLD_OPERATOR) sees it."""
     path = file or os.environ.get("MICAHOLD_OPERATOR")
     if not path:
-        raise click.UsageError("FILE is missing, and MICAHOLD_OPERATOR is not set")
+        raise click.UsageError("argument FILE is missing, and MICAHOLD_OPERATOR is not set")
     try:
         gossip = read_settings_file(path).gossip
         if gossip is None:
             raise click.ClickException(f"{path}: gossip is off")
         own = name or gossip.name
         if own is None:
-            raise click.UsageError("the file says no name: --name is needed")
+            raise click.UsageError("the file sets no name: --name is required")
         address = gossip.listen
-        answer = ask(address, own, Hand(read_own(gossip.keys)))
-    except (OperatorFileError, KeyFileError) as problem:
-        raise click.ClickException(str(problem)) from None
-    except OSError as problem:
-        raise click.ClickException(f"{address[0]}:{address[1]}: {problem}") from None
+        answer = request_view(address, own, Hand(read_own(gossip.keys)))
+    except (OperatorFileError, KeyFileError) as error:
+        raise click.ClickException(str(error)) from None
+    except OSError as error:
+        raise click.ClickException(f"{address[0]}:{address[1]}: {error}") from None
     if as_json:
         click.echo(orjson.dumps(answer))
         return
@@ -66,18 +72,18 @@
 
     console = Console()
     console.print(
-        f"{answer['name']} at {answer['address']}: {answer['living']} living of {answer['bound']}, "
+        f"{answer['name']} at {answer['address']}: {answer['living']} alive of at most {answer['bound']}, "
         f"local health {answer['health']}"
     )
     table = Table("member", "address", "status", "for s", "heard s ago", "credit", "accused by")
-    for one in answer["members"]:
-        credit = "liar" if one["liar"] else "" if one["credit"] is None else f"{one['credit']:.2f}"
-        heard = "never" if one["heard_s"] is None else f"{one['heard_s']:.1f}"
+    for member in answer["members"]:
+        credit = "liar" if member["liar"] else "" if member["credit"] is None else f"{member['credit']:.2f}"
+        last_heard = "never" if member["heard_s"] is None else f"{member['heard_s']:.1f}"
         table.add_row(
-            one["name"], one["address"], one["status"], f"{one['since_s']:.1f}", heard, credit,
-            " ".join(one["accusers"]),
+            member["name"], member["address"], member["status"], f"{member['since_s']:.1f}", last_heard,
+            credit, " ".join(member["accusers"]),
         )  # fmt: skip
     console.print(table)
-    for what in ("failing", "draining"):
-        if answer[what]:
-            console.print(f"{what} by hearsay: {', '.join(answer[what])}")
+    for state in ("failing", "draining"):
+        if answer[state]:
+            console.print(f"{state} by peer reports: {', '.join(answer[state])}")
--- a/micahold/commands/trial.py
+++ b/micahold/commands/trial.py
@@ -1,4 +1,4 @@
-"""``micahold trial``: experiments that print the figures of a subsystem, with their seeds."""
+"""``micahold trial``: runs seeded experiments on a subsystem and prints their results."""
 
 from __future__ import annotations
 
@@ -10,41 +10,44 @@
 
 @click.group("trial")
 def command() -> None:
-    """Run an experiment of the project's own laboratory; the figures are simulated."""
+    """Run an experiment from the project's laboratory; all results are simulated."""
 
 
 @command.command("gossip")
-@click.option("--seeds", default=8, show_default=True, help="How many seeds, 1 and up.")
-@click.option("--sizes", default="10,50,200,1000", show_default=True, help="Members, for the detection.")
-@click.option("--processes", default=os.cpu_count() or 1, show_default=True, help="Runs side by side.")
-@click.option("--json", "as_json", is_flag=True, help="One JSON object instead of tables.")
+@click.option("--seeds", default=8, show_default=True, help="Number of seeds, from 1 on.")
+@click.option("--sizes", default="10,50,200,1000", show_default=True, help="Group sizes for the detection.")
+@click.option("--processes", default=os.cpu_count() or 1, show_default=True, help="Parallel runs.")
+@click.option("--json", "as_json", is_flag=True, help="Print one JSON object instead of tables.")
 def gossip(seeds: int, sizes: str, processes: int, as_json: bool) -> None:
-    """Detection, traffic, false deaths, liars, and what hearsay is worth; some minutes."""
+    """Measure detection, traffic, false deaths, liars and the benefit of peer reports; takes minutes."""
     from rich.console import Console
     from rich.table import Table as RichTable
 
     from micahold.laboratory.gossip_trial import Table, everything
 
     try:
-        members = tuple(int(one) for one in sizes.split(","))
+        group_sizes = tuple(int(size) for size in sizes.split(","))
     except ValueError:
-        raise click.UsageError("--sizes: expected numbers with commas between them") from None
-    if seeds < 2 or min(members) < 3:
-        raise click.UsageError("two seeds and groups of three are the least")
+        raise click.UsageError("--sizes: expected numbers separated by commas") from None
+    if seeds < 2 or min(group_sizes) < 3:
+        raise click.UsageError("at least two seeds and groups of at least three members are needed")
     console = Console(width=160)
 
     def show(table: Table) -> None:
         if not as_json:
-            shown = RichTable(
+            rich_table = RichTable(
                 *table.heads, title=table.title, caption=table.note or None, title_justify="left"
             )
             for row in table.rows:
-                shown.add_row(*row)
-            console.print(shown)
+                rich_table.add_row(*row)
+            console.print(rich_table)
 
-    tables = everything(list(range(1, seeds + 1)), members, processes, show)
+    tables = everything(list(range(1, seeds + 1)), group_sizes, processes, show)
     if as_json:
-        kept = {one.title: [dict(zip(one.heads, row, strict=True)) for row in one.rows] for one in tables}
-        click.echo(orjson.dumps({"seeds": seeds, "tables": kept}))
+        rows_by_title = {
+            result.title: [dict(zip(result.heads, row, strict=True)) for row in result.rows]
+            for result in tables
+        }
+        click.echo(orjson.dumps({"seeds": seeds, "tables": rows_by_title}))
     else:
-        console.print(f"seeds 1 to {seeds}; simulated, in virtual time")
+        console.print(f"seeds 1 to {seeds}; simulated in virtual time")
--- a/micahold/program/__init__.py
+++ b/micahold/program/__init__.py
@@ -1,1 +1,1 @@
-"""The program: configuration, log, and the phases from start to exit."""
+"""The process around the controller: configuration, log, and the phases from start to exit."""
--- a/micahold/program/log.py
+++ b/micahold/program/log.py
@@ -1,4 +1,4 @@
-"""The log: one JSON line an event on standard output, which may be a pipe that nobody empties."""
+"""The log: one JSON line per event on standard output, which may be a pipe without a reader."""
 
 from __future__ import annotations
 
@@ -14,38 +14,47 @@
 
 
 class Log:
-    """Lines are gathered for a moment and written without waiting; when the pipe is full they are lost."""
+    """Buffers lines and writes them without blocking; lines that exceed the full buffer are dropped.
+
+    Dropped lines are counted as ``log_lines_lost``. Times in lines come from ``now``, in Unix seconds.
+    """
 
     def __init__(self, descriptor: int, now: Callable[[], float], counters: Counters) -> None:
-        self._descriptor, self._now, self._counters = descriptor, now, counters
-        self._kept = bytearray()
-        self._later: Callable[[], None] | None = None
+        self._descriptor = descriptor
+        self._now = now
+        self._counters = counters
+        self._buffer = bytearray()
+        self._schedule_flush: Callable[[], None] | None = None
         os.set_blocking(descriptor, False)
 
     def defer_flushes(self, schedule: Callable[[], None]) -> None:
-        """``schedule`` is called when there is something to write and nothing scheduled yet."""
-        self._later = schedule
+        """Call ``schedule`` when the buffer gets its first line, instead of a flush after each line.
+
+        ``schedule`` has to arrange calls of ``flush`` until the buffer is empty.
+        """
+        self._schedule_flush = schedule
 
     def __call__(self, event: str, **fields: Any) -> None:
+        """Log ``event`` with ``fields``; values that JSON does not have are written as their ``repr``."""
         line = orjson.dumps({"ts": round(self._now(), 4), "event": event, **fields}, default=repr) + b"\n"
-        if len(self._kept) + len(line) > MAX_BUFFERED_BYTES:
+        if len(self._buffer) + len(line) > MAX_BUFFERED_BYTES:
             self._counters.add("log_lines_lost")
             return
-        was_empty = not self._kept
-        self._kept += line
-        if self._later is None:
+        was_empty = not self._buffer
+        self._buffer += line
+        if self._schedule_flush is None:
             self.flush()
         elif was_empty:
-            self._later()
+            self._schedule_flush()
 
     def flush(self) -> bool:
-        """Write what the descriptor takes now; True when nothing is left."""
+        """Write as much as the descriptor accepts without blocking; True when the buffer is empty."""
         try:
-            while self._kept:
-                written = os.write(self._descriptor, self._kept)
-                del self._kept[:written]
+            while self._buffer:
+                written = os.write(self._descriptor, self._buffer)
+                del self._buffer[:written]
         except BlockingIOError:
             pass
         except OSError:
-            self._kept.clear()  # nobody reads any more
-        return not self._kept
+            self._buffer.clear()  # the reader has closed the pipe
+        return not self._buffer
--- a/micahold/program/loop.py
+++ b/micahold/program/loop.py
@@ -1,8 +1,9 @@
-"""Twisted's epoll reactor with less work per message: one core serves a front and nothing else.
+"""A variant of Twisted's epoll reactor with less work per message, for a process that uses one core.
 
-Twisted asks epoll for each write and for its end, and runs each event in a logging context. Here what was
-written in a turn goes out at the end of that turn, and epoll is asked only for what the socket did not
-take. It leans on names of the pinned Twisted; ``tests/test_loop.py`` holds them.
+Twisted registers a descriptor with epoll for each write, removes it afterwards, and runs each event in a
+logging context. This reactor sends at the end of an iteration what was written during it, and registers only
+descriptors whose socket did not take all of its data. It uses private names of the pinned Twisted release;
+``tests/test_loop.py`` checks that they still behave as expected.
 """
 
 from __future__ import annotations
@@ -17,89 +18,107 @@
 
 from micahold.program.configuration import MAX_ACCEPTS_PER_ITERATION
 
-MAX_READY_EVENTS = 16  # handled between two looks at the timers: a busy turn must not make an answer late
-MAX_ASSUMED_LATENESS_S = 0.05  # the platform's own allowance on sockets: no more lateness is assumed
-MAX_UNREAD_S = 0.25  # nor more time unread: never having read all for long says little of one query
+# Events handled between two checks of the timers; a longer iteration would make answers late.
+MAX_READY_EVENTS = 16
+# The platform's own allowance for delays on sockets; no greater timer lateness is assumed.
+MAX_ASSUMED_LATENESS_S = 0.05
+# Bound on the assumed read delay: under lasting load the time since the last complete poll says little about
+# a single query.
+MAX_UNREAD_S = 0.25
 LATENESS_HALF_LIFE_S = 5.0
-MIN_BLOCKING_POLL_S = 0.001  # a poll that took longer had nothing to tell when it began
+# A poll that took longer than this has blocked: no descriptor was ready when it began.
+MIN_BLOCKING_POLL_S = 0.001
 
 
 class BoundedAcceptPort(Port):
-    """A listener that takes a few connections a turn; Twisted's takes hundreds once hundreds wait."""
+    """A listening port that accepts a bounded number of connections per reactor iteration.
+
+    Twisted raises the number to hundreds once hundreds of connections wait.
+    """
 
     @property
     def numberAccepts(self) -> int:
+        """The number of connections that Twisted accepts per iteration."""
         return MAX_ACCEPTS_PER_ITERATION
 
     @numberAccepts.setter
     def numberAccepts(self, number: int) -> None:
-        """Twisted would raise it."""
+        """Ignores the values that Twisted assigns, so that the bound stays."""
 
 
 class FrontReactor(epollreactor.EPollReactor):
-    """One poll, then one pass over what is ready."""
+    """An epoll reactor whose iteration is one poll and one pass over the descriptors that are ready."""
 
     def __init__(self) -> None:
-        self._unsent: dict[Any, None] = {}
-        self._at_turn_end: list[Callable[[], None]] = []
-        self._drained = self._unread_since = self._returned = 0.0
-        self._late = 0.0
+        self._unsent_writers: dict[Any, None] = {}
+        self._iteration_end_calls: list[Callable[[], None]] = []
+        # Times of the reactor's clock: of the last poll that returned all ready descriptors; since when the
+        # data of this iteration may have been readable; of the return of the last poll.
+        self._drained_at = self._unread_since = self._poll_returned_at = 0.0
+        self._lateness = 0.0
         super().__init__()  # type: ignore[no-untyped-call]
 
     def listenTCP(self, port: int, factory: Any, backlog: int = 50, interface: str = "") -> BoundedAcceptPort:
+        """Listens as Twisted's reactor does, with a bounded number of accepts per iteration."""
         listener = BoundedAcceptPort(port, factory, backlog, interface, self)
         listener.startListening()
         return listener
 
     def addWriter(self, writer: Any) -> None:
+        """Queues a connected socket to be sent at the end of the iteration; registers others with epoll."""
         if isinstance(writer, Connection) and writer.connected:
             if writer.fileno() not in self._writes:
-                self._unsent[writer] = None
+                self._unsent_writers[writer] = None
         else:
             super().addWriter(writer)  # type: ignore[no-untyped-call]
 
     def removeWriter(self, writer: Any) -> None:
-        if writer in self._unsent:
-            del self._unsent[writer]
+        """Removes ``writer`` from the queue of this iteration or from epoll, wherever it is."""
+        if writer in self._unsent_writers:
+            del self._unsent_writers[writer]
         elif writer.fileno() in self._writes or not isinstance(writer, Connection) or writer.fileno() == -1:
             super().removeWriter(writer)  # type: ignore[no-untyped-call]
 
-    def call_at_iteration_end(self, act: Callable[[], None]) -> None:
-        """Once, after what is ready now and due now, and before what was written is sent."""
-        self._at_turn_end.append(act)
+    def call_at_iteration_end(self, call: Callable[[], None]) -> None:
+        """Calls ``call`` once, after the ready events and due timers, before written data is sent."""
+        self._iteration_end_calls.append(call)
 
     def max_read_delay(self) -> float:
-        """How long what is being read may have lain there, in seconds.
+        """The longest time, in seconds, for which the data being read may have been waiting to be read.
 
-        Guards against deadlines counted from when a late turn got to a query. What is ready without a wait
-        came after the last poll that did not find all it could take; what was waited for has just come.
+        Without it, the deadline of a query would count from the moment at which a late iteration read the
+        query. Data that is ready without a wait arrived after the last poll that returned all ready
+        descriptors; data that a blocking poll waited for has just arrived.
         """
         return max(0.0, min(MAX_UNREAD_S, float(self.seconds()) - self._unread_since))
 
     def timer_lateness(self) -> float:
-        """How late a timer may fire, in seconds: the longest turn of late, fading.
+        """How late a timer may fire, in seconds: the longest recent iteration, with exponential decay.
 
-        Guards against answers at a deadline that a stalled machine makes late.
+        Callers subtract it from deadlines, so that answers are in time on a machine that stalls.
         """
-        return min(MAX_ASSUMED_LATENESS_S, self._late)
-
-    def _end_turn(self) -> bool:
-        """True if there was anything to do."""
-        acted = bool(self._at_turn_end)
-        while self._at_turn_end:
-            acts, self._at_turn_end = self._at_turn_end, []
-            for act in acts:
+        return min(MAX_ASSUMED_LATENESS_S, self._lateness)
+
+    def _end_iteration(self) -> bool:
+        """Run the calls for the end of the iteration and send; True if there was anything to do."""
+        acted = bool(self._iteration_end_calls)
+        while self._iteration_end_calls:
+            calls, self._iteration_end_calls = self._iteration_end_calls, []
+            for call in calls:
                 try:
-                    act()
+                    call()
                 except Exception:
                     log.err()
         return self._send_unsent() or acted
 
     def _send_unsent(self) -> bool:
-        """Send what this turn wrote; True if there was anything."""
-        sent = bool(self._unsent)
-        while self._unsent:
-            writers, self._unsent = list(self._unsent), {}
+        """Send what this iteration wrote; True if there was anything.
+
+        Registers a connection with epoll only where the socket did not take all of its data.
+        """
+        sent = bool(self._unsent_writers)
+        while self._unsent_writers:
+            writers, self._unsent_writers = list(self._unsent_writers), {}
             for writer in writers:
                 descriptor = writer.fileno()
                 if descriptor == -1:
@@ -107,28 +126,34 @@
                 self._doReadOrWrite(writer, descriptor, epollreactor.EPOLLOUT)  # type: ignore[no-untyped-call]
                 left = writer.offset < len(writer.dataBuffer) or writer._tempDataLen
                 if left and writer.connected and writer.fileno() != -1:
-                    self._unsent.pop(writer, None)
+                    self._unsent_writers.pop(writer, None)
                     super().addWriter(writer)  # type: ignore[no-untyped-call]
         return sent
 
     def doPoll(self, timeout: float | None) -> None:
-        if self._end_turn():
-            # What was done may have ended sessions and set timers since the time-out was worked out.
+        """End the iteration that ran before, then poll for at most ``timeout`` seconds and handle events."""
+        if self._end_iteration():
+            # The calls may have closed connections and set timers since the timeout was computed.
             timeout = self.timeout()
-        before = self.seconds()
+        poll_began_at = self.seconds()
         try:
             ready = self._poller.poll(-1 if timeout is None else timeout, MAX_READY_EVENTS)
-        except OSError as problem:
-            if problem.errno == errno.EINTR:
+        except OSError as error:
+            if error.errno == errno.EINTR:
                 return
             raise
-        after = self.seconds()
-        passed, turn = after - self._returned, before - self._returned
-        self._late = max(turn, self._late * 0.5 ** (passed / LATENESS_HALF_LIFE_S)) if self._returned else 0.0
-        self._returned = after
-        self._unread_since = after if after - before > MIN_BLOCKING_POLL_S else self._drained
+        now = self.seconds()
+        elapsed = now - self._poll_returned_at
+        iteration_s = poll_began_at - self._poll_returned_at
+        self._lateness = (
+            max(iteration_s, self._lateness * 0.5 ** (elapsed / LATENESS_HALF_LIFE_S))
+            if self._poll_returned_at
+            else 0.0
+        )
+        self._poll_returned_at = now
+        self._unread_since = now if now - poll_began_at > MIN_BLOCKING_POLL_S else self._drained_at
         if len(ready) < MAX_READY_EVENTS:
-            self._drained = after
+            self._drained_at = now
         for descriptor, event in ready:
             selectable = self._selectables.get(descriptor)
             if selectable is not None:
@@ -138,7 +163,10 @@
 
 
 def install() -> Any:
-    """Make it the process's reactor; before anything imports Twisted's own."""
+    """Install a ``FrontReactor`` as the process's reactor and return it.
+
+    It must run before any import of ``twisted.internet.reactor``, which installs Twisted's default.
+    """
     reactor = FrontReactor()
     main.installReactor(reactor)
     return reactor
--- a/micahold/program/operator_settings.py
+++ b/micahold/program/operator_settings.py
@@ -1,7 +1,7 @@
-"""What the operator's own file may hold: one struct a section, with units, defaults and meaning.
+"""The settings of the operator's own file: one struct per section, with units, defaults and descriptions.
 
-The reference in ``docs/operators/settings.md`` and the example in ``deploy/operator.example.sexp`` are held
-against these structs by tests. ``in_service`` names the settings that SIGHUP takes over.
+Tests compare the reference in ``docs/operators/settings.md`` and the example in
+``deploy/operator.example.sexp`` with these structs. ``in_service`` marks the settings that SIGHUP applies.
 """
 
 from __future__ import annotations
@@ -18,31 +18,47 @@
 FileName = Annotated[str, msgspec.Meta(min_length=1, extra={"unit": "file"})]
 
 
-def _is(meaning: str, in_service: bool = False) -> Any:
-    """Documentation of a setting, for the generated reference."""
-    return msgspec.Meta(description=meaning, extra={"in_service": in_service})
+def _described(description: str, in_service: bool = False) -> Any:
+    """The description of a setting for the generated reference, and whether SIGHUP applies the setting."""
+    return msgspec.Meta(description=description, extra={"in_service": in_service})
 
 
 class GossipSettings(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """Instances find each other and share what they saw of engines; off where this section is missing."""
-
-    listen: Annotated[Address, _is("where datagrams (UDP) and full exchanges (TCP) of other members arrive")]
-    keys: Annotated[FileName, _is("this member's own keys, made by `micahold keys make`", True)]
-    members: Annotated[FileName, _is("the public keys of all members, by name", True)]
-    name: Annotated[Name | None, _is("this member's name; the platform's name for the front if missing")] = (
-        None
-    )
-    advertise: Annotated[Address | None, _is("where others reach this member; `listen` if missing")] = None
-    seeds: Annotated[tuple[Address, ...], _is("members asked first; any one that lives is enough", True)] = ()
-    rate: Annotated[ByteRate, _is("most bytes sent in any second", True)] = 16 * 1024
-    rate_in: Annotated[ByteRate, _is("most bytes taken in any second; the rest is dropped unread", True)] = (
-        64 * 1024
-    )
-    period: Annotated[Duration, _is("one probe of one member is begun so often")] = 1.0
-    probe_timeout: Annotated[Duration, _is("a probe unanswered for so long is tried through others")] = 0.4
-    clock_error: Annotated[Duration, _is("clocks of members may be so far apart")] = 30.0
-    gone: Annotated[tuple[Name, ...], _is("members that are counted as gone by your word", True)] = ()
-    hearsay: Annotated[bool, _is("hand what members saw of engines to the decisions", True)] = True
+    """Group membership of fronts by gossip, with peer reports about engines; off without this section."""
+
+    listen: Annotated[
+        Address, _described("address for datagrams (UDP) and full state exchanges (TCP) of other members")
+    ]
+    keys: Annotated[
+        FileName, _described("file of this member's private keys, made by `micahold keys make`", True)
+    ]
+    members: Annotated[FileName, _described("file of the public keys of all members, by name", True)]
+    name: Annotated[
+        Name | None, _described("this member's name; by default the platform's name for the front")
+    ] = None
+    advertise: Annotated[
+        Address | None, _described("address at which other members reach this member; by default `listen`")
+    ] = None
+    seeds: Annotated[
+        tuple[Address, ...],
+        _described("addresses of the members that are contacted first; one alive member is enough", True),
+    ] = ()
+    rate: Annotated[ByteRate, _described("limit on bytes sent in any second", True)] = 16 * 1024
+    rate_in: Annotated[
+        ByteRate, _described("limit on bytes received in any second; the excess is dropped unread", True)
+    ] = 64 * 1024
+    period: Annotated[Duration, _described("interval between probes, each of one member")] = 1.0
+    probe_timeout: Annotated[
+        Duration, _described("time without an answer after which a probe is repeated through other members")
+    ] = 0.4
+    clock_error: Annotated[
+        Duration, _described("largest accepted difference between the clocks of members")
+    ] = 30.0
+    gone: Annotated[
+        tuple[Name, ...],
+        _described("members declared gone by the operator; the count of gateways leaves them out", True),
+    ] = ()
+    hearsay: Annotated[bool, _described("pass peer reports about engines to the controller", True)] = True
 
     def __post_init__(self) -> None:
         if self.probe_timeout >= self.period:
@@ -52,6 +68,6 @@
 
 
 class OperatorSettings(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """The whole file."""
+    """All sections of the file."""
 
     gossip: GossipSettings | None = None
--- a/micahold/program/start.py
+++ b/micahold/program/start.py
@@ -1,6 +1,6 @@
-"""Starts the front: configuration from ``NODE_CONFIG``, log on standard output.
+"""Starts the front with the configuration that ``NODE_CONFIG`` names and the log on standard output.
 
-SIGTERM ends it, SIGHUP has it read the configuration again, SIGUSR1 prints its counters.
+SIGTERM begins the shutdown, SIGHUP reloads the configuration, SIGUSR1 logs the counters.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 from pathlib import Path
 from typing import Any
 
-from twisted.internet import error
+from twisted.internet import error as twisted_error
 from twisted.python import log as twisted_log
 
 from micahold.counters import Counters
@@ -22,78 +22,86 @@
 from micahold.program.loop import install
 from micahold.settings import FormatError
 
-EXIT_BAD_CONFIGURATION, EXIT_CANNOT_LISTEN = 2, 1
+EXIT_BAD_CONFIGURATION = 2
+EXIT_CANNOT_LISTEN = 1
 
 
 def print_error(text: str) -> None:
+    """Print ``text`` on standard error after the program's name."""
     print(f"micahold: {text}", file=sys.stderr, flush=True)
 
 
 def read_configuration() -> Configuration:
+    """The configuration in the file that ``NODE_CONFIG`` names; ``FormatError`` where it is not usable."""
     path = os.environ.get("NODE_CONFIG")
     if not path:
         raise FormatError("NODE_CONFIG is not set")
     try:
         data = Path(path).read_bytes()
-    except OSError as problem:
-        raise FormatError(f"cannot read {path}: {problem.strerror}") from None
+    except OSError as error:
+        raise FormatError(f"cannot read {path}: {error.strerror}") from None
     return parse_configuration(data)
 
 
 def create_subsystems(path: str, front: Front, loop: Any, now: Callable[[], float], log: Log) -> Subsystems:
-    """What the operator's own file switches on; ``FormatError`` where it can't be used."""
+    """The subsystems that the operator's file at ``path`` enables; ``FormatError`` where it is not usable."""
     try:
         from micahold.program.operator import OperatorSubsystems
         from micahold.program.operator_file import OperatorFileError
-    except ModuleNotFoundError as problem:
-        raise FormatError(f"{problem.name} is missing: pip install 'micahold[gossip]'") from None
+    except ModuleNotFoundError as error:
+        raise FormatError(f"{error.name} is missing: pip install 'micahold[gossip]'") from None
     try:
         return OperatorSubsystems(path, front, loop, now, log)
-    except OperatorFileError as problem:
-        raise FormatError("\nmicahold: ".join(problem.problems)) from None
+    except OperatorFileError as error:
+        raise FormatError("\nmicahold: ".join(error.problems)) from None
 
 
 def start() -> int:
-    """0 after SIGTERM, 1 where the address can't be had, 2 where the configuration can't be used."""
-    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # until it can be heeded: it must never end the program
+    """Run the front until it stops and return the exit code.
+
+    The code is 0 after SIGTERM, 1 where the address cannot be bound, 2 where the configuration is not usable.
+    """
+    # SIGHUP must never end the process: it is ignored until its handler is set.
+    signal.signal(signal.SIGHUP, signal.SIG_IGN)
     try:
         configuration = read_configuration()
-    except FormatError as problem:
-        print_error(str(problem))
+    except FormatError as error:
+        print_error(str(error))
         return EXIT_BAD_CONFIGURATION
     loop = install()
-    now, counters = forward_unix_clock(), Counters()
+    now = forward_unix_clock()
+    counters = Counters()
     log = Log(sys.stdout.fileno(), now, counters)
     front = Front(configuration, loop, now, log, counters, loop.stop)
 
-    if operator := os.environ.get("MICAHOLD_OPERATOR"):
+    if operator_file := os.environ.get("MICAHOLD_OPERATOR"):
         try:
-            front.subsystems = create_subsystems(operator, front, loop, now, log)
-        except FormatError as problem:
-            print_error(str(problem))
+            front.subsystems = create_subsystems(operator_file, front, loop, now, log)
+        except FormatError as error:
+            print_error(str(error))
             return EXIT_BAD_CONFIGURATION
 
-    def note_error(event: dict[str, Any]) -> None:
-        """What Twisted caught: the one session or call has ended, the program goes on."""
+    def log_twisted_error(event: dict[str, Any]) -> None:
+        """Log an exception that Twisted caught: it ended one session or call, and the front goes on."""
         if event.get("isError"):
             failure = event.get("failure")
             text = failure.getBriefTraceback() if failure is not None else repr(event.get("message"))
             counters.add("errors_caught")
             log("error_caught", error=text)
 
-    twisted_log.startLoggingWithObserver(note_error, setStdout=False)
+    twisted_log.startLoggingWithObserver(log_twisted_error, setStdout=False)
 
-    def set_up() -> None:
-        # After start, so that these stand in place of the reactor's own.
+    def set_signal_handlers() -> None:
+        # Runs once the reactor runs, so that these replace the handlers that the reactor installs.
         signal.signal(signal.SIGTERM, lambda *_: loop.callFromThread(front.begin_shutdown))
         signal.signal(signal.SIGHUP, lambda *_: loop.callFromThread(front.reload, read_configuration))
         signal.signal(signal.SIGUSR1, lambda *_: loop.callFromThread(front.log_counters))
 
-    loop.callWhenRunning(set_up)
+    loop.callWhenRunning(set_signal_handlers)
     try:
         front.start()
-    except error.CannotListenError as problem:
-        print_error(format_listen_error(problem))
+    except twisted_error.CannotListenError as error:
+        print_error(format_listen_error(error))
         return EXIT_CANNOT_LISTEN
     loop.run()
     log.flush()
--- a/micahold/program/structured.py
+++ b/micahold/program/structured.py
@@ -1,7 +1,7 @@
-"""structlog over the front's own writer, for subsystems: context bound once, levels, the same JSON lines.
+"""structlog on top of the front's log, for subsystems: bound context, levels, and the same JSON lines.
 
-The front itself calls its writer directly: a line through structlog takes two to three times as long, and a
-front without subsystems does not import it. What is written still goes through the writer that never blocks.
+The front itself calls its log directly: a line through structlog takes two to three times as long, and a
+front without subsystems does not import structlog. All lines still go through ``Log``, which never blocks.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 class LogWriter:
-    """Ends a chain of structlog processors in a call of the front's log."""
+    """The innermost logger of structlog, which passes each line to the front's log."""
 
     def __init__(self, log: Callable[..., None]) -> None:
         self.log = log
@@ -23,19 +23,19 @@
         return self.log
 
 
-def _to_fields(logger: WrappedLogger, level: str, item: EventDict) -> tuple[tuple[str], dict[str, Any]]:
-    """The event's name as the one positional argument; a level other than info as a field."""
-    name = str(item.pop("event"))
+def _to_log_call(logger: WrappedLogger, level: str, line: EventDict) -> tuple[tuple[str], dict[str, Any]]:
+    """The arguments of a log call: the event's name, and its fields with any level other than info."""
+    name = str(line.pop("event"))
     if level != "info":
-        item["level"] = level
-    return (name,), dict(item)
+        line["level"] = level
+    return (name,), dict(line)
 
 
 def bind_logger(log: Callable[..., None], **context: Any) -> structlog.BoundLogger:
-    """A structlog logger whose lines go to ``log`` with ``context`` in each."""
+    """A structlog logger whose lines go to ``log``, each with the fields of ``context``."""
     bound: structlog.BoundLogger = structlog.wrap_logger(
         LogWriter(log),
-        processors=[structlog.processors.format_exc_info, _to_fields],
+        processors=[structlog.processors.format_exc_info, _to_log_call],
         wrapper_class=structlog.BoundLogger,
         cache_logger_on_first_use=True,
     ).bind(**context)
--- a/micahold/program/units.py
+++ b/micahold/program/units.py
@@ -1,7 +1,7 @@
-"""Figures with units as operators write them: ``250ms``, ``64KiB``, ``16KiB/s``, ``10/s``.
+"""Quantities with units as operators write them: ``250ms``, ``64KiB``, ``16KiB/s``, ``10/s``.
 
-Each parser takes the word and answers with seconds, bytes or a rate a second; ``ValueError`` says what was
-expected.
+Each parser takes one word and returns seconds, bytes or a rate per second; the text of its ``ValueError``
+says what it expects. ``operator_file`` looks the parsers up by the name of the unit.
 """
 
 from __future__ import annotations
@@ -14,65 +14,68 @@
 
 
 def _split(word: str, expected: str) -> tuple[float, str, bool]:
-    found = QUANTITY_PATTERN.fullmatch(word)
-    if found is None:
+    """The number, the unit, and whether the word ends in ``/s``; ``ValueError(expected)`` otherwise."""
+    match = QUANTITY_PATTERN.fullmatch(word)
+    if match is None:
         raise ValueError(expected)
-    return float(found[1]), found[2], found[3] is not None
+    return float(match[1]), match[2], match[3] is not None
 
 
 def duration(word: str) -> float:
-    """Seconds."""
+    """A duration, in seconds."""
     expected = "a time such as 250ms, 5s or 2min"
-    number, unit, rate = _split(word, expected)
-    if rate or unit not in SECONDS_PER_UNIT:
+    number, unit, is_rate = _split(word, expected)
+    if is_rate or unit not in SECONDS_PER_UNIT:
         raise ValueError(expected)
     return number * SECONDS_PER_UNIT[unit]
 
 
 def size(word: str) -> int:
-    """Bytes."""
+    """A size, in bytes."""
     expected = "a size such as 64KiB or 2MiB"
-    number, unit, rate = _split(word, expected)
-    if rate or unit not in BYTES_PER_UNIT:
+    number, unit, is_rate = _split(word, expected)
+    if is_rate or unit not in BYTES_PER_UNIT:
         raise ValueError(expected)
     return round(number * BYTES_PER_UNIT[unit])
 
 
 def byte_rate(word: str) -> int:
-    """Bytes a second."""
+    """A rate, in bytes per second."""
     expected = "bytes a second such as 16KiB/s"
-    number, unit, rate = _split(word, expected)
-    if not rate or unit not in BYTES_PER_UNIT:
+    number, unit, is_rate = _split(word, expected)
+    if not is_rate or unit not in BYTES_PER_UNIT:
         raise ValueError(expected)
     return round(number * BYTES_PER_UNIT[unit])
 
 
 def per_second(word: str) -> float:
-    """Times a second."""
+    """A rate, in events per second."""
     expected = "a rate such as 10/s"
-    number, unit, rate = _split(word, expected)
-    if not rate or unit:
+    number, unit, is_rate = _split(word, expected)
+    if not is_rate or unit:
         raise ValueError(expected)
     return number
 
 
 def address(word: str) -> tuple[str, int]:
-    """Host and port."""
-    host, sign, port = word.rpartition(":")
-    if not sign or not host or not port.isdigit() or not 0 < int(port) < 65536:
+    """A host without the brackets of an IPv6 address, and a port."""
+    host, separator, port = word.rpartition(":")
+    if not separator or not host or not port.isdigit() or not 0 < int(port) < 65536:
         raise ValueError('an address such as "127.0.0.1:7946"')
     return host.strip("[]"), int(port)
 
 
 def format_duration(seconds: float) -> str:
+    """A duration in the largest unit of which it is a whole multiple, else in seconds."""
     for unit, factor in (("d", 86400.0), ("h", 3600.0), ("min", 60.0), ("s", 1.0), ("ms", 1e-3)):
         if seconds >= factor and round(seconds / factor, 6) == round(seconds / factor):
             return f"{round(seconds / factor)}{unit}"
     return f"{seconds:g}s"
 
 
-def format_size(number: int) -> str:
+def format_size(size_bytes: int) -> str:
+    """A size in the largest binary unit of which it is a whole multiple, else in bytes."""
     for unit in ("GiB", "MiB", "KiB"):
-        if number >= BYTES_PER_UNIT[unit] and number % BYTES_PER_UNIT[unit] == 0:
-            return f"{number // BYTES_PER_UNIT[unit]}{unit}"
-    return f"{number}B"
+        if size_bytes >= BYTES_PER_UNIT[unit] and size_bytes % BYTES_PER_UNIT[unit] == 0:
+            return f"{size_bytes // BYTES_PER_UNIT[unit]}{unit}"
+    return f"{size_bytes}B"
--- a/tests/test_loop.py
+++ b/tests/test_loop.py
@@ -1,4 +1,4 @@
-"""The front's reactor on real sockets: what it changes in Twisted's, and that nothing is lost by it."""
+"""The front's reactor on real sockets: how it differs from Twisted's, and that it loses no data."""
 
 from __future__ import annotations
 
@@ -7,34 +7,34 @@
 
 from micahold.program.configuration import MAX_ACCEPTS_PER_ITERATION
 
-SCRIPT = """
+TRANSFER_SCRIPT = """
 from micahold.program.loop import install
 reactor = install()
 from twisted.internet import reactor as installed
 from twisted.internet.protocol import ClientFactory, Protocol, ServerFactory
 assert installed is reactor
 SIZE = 3_000_000
-turns = []
+calls = []
 
 class Server(Protocol):
     def connectionMade(self):
-        self.transport.write(b"x" * SIZE)  # more than a socket takes at once
-        reactor.call_at_iteration_end(lambda: turns.append("end"))
+        self.transport.write(b"x" * SIZE)  # more than a socket accepts in one write
+        reactor.call_at_iteration_end(lambda: calls.append("end"))
         reactor.call_at_iteration_end(lambda: 1 // 0)
     def dataReceived(self, data):
         self.transport.write(data)
         self.transport.loseConnection()
 
 class Client(Protocol):
-    got = b""
+    received = b""
     def dataReceived(self, data):
-        self.got += data
-        if len(self.got) == SIZE:
+        self.received += data
+        if len(self.received) == SIZE:
             self.transport.write(b"bye")
     def connectionLost(self, reason):
-        assert self.got == b"x" * SIZE + b"bye", len(self.got)
-        assert turns == ["end"]
-        print("whole")
+        assert self.received == b"x" * SIZE + b"bye", len(self.received)
+        assert calls == ["end"]
+        print("complete")
         reactor.stop()
 
 server = ServerFactory()
@@ -48,60 +48,60 @@
 """
 
 
-def test_all_that_is_written_arrives_also_what_a_socket_does_not_take_at_once() -> None:
-    done = subprocess.run(
-        [sys.executable, "-c", SCRIPT], capture_output=True, text=True, timeout=30, check=False
+def test_all_written_data_arrives_when_the_socket_accepts_only_part_of_it_at_once() -> None:
+    result = subprocess.run(
+        [sys.executable, "-c", TRANSFER_SCRIPT], capture_output=True, text=True, timeout=30, check=False
     )
-    assert done.stdout == "whole\n", done.stderr
+    assert result.stdout == "complete\n", result.stderr
 
 
-LATE_SCRIPT = """
+LATENESS_SCRIPT = """
 import time
 from micahold.program.loop import MAX_ASSUMED_LATENESS_S, install
 reactor = install()
-seen = []
-reactor.callLater(0.05, lambda: seen.append(reactor.timer_lateness()))
+lateness = []
+reactor.callLater(0.05, lambda: lateness.append(reactor.timer_lateness()))
 reactor.callLater(0.06, time.sleep, 0.2)
-reactor.callLater(0.07, lambda: reactor.callLater(0.01, lambda: seen.append(reactor.timer_lateness())))
+reactor.callLater(0.07, lambda: reactor.callLater(0.01, lambda: lateness.append(reactor.timer_lateness())))
 reactor.callLater(0.5, reactor.stop)
 reactor.run()
-print(seen[0] < MAX_ASSUMED_LATENESS_S, seen[1] == MAX_ASSUMED_LATENESS_S)
+print(lateness[0] < MAX_ASSUMED_LATENESS_S, lateness[1] == MAX_ASSUMED_LATENESS_S)
 """
 
 
-def test_a_long_turn_is_remembered_as_lateness_up_to_what_the_platform_allows() -> None:
-    command = [sys.executable, "-c", LATE_SCRIPT]
-    done = subprocess.run(command, capture_output=True, text=True, timeout=30, check=False)
-    assert done.stdout.split()[1:] == ["True"], done.stderr
+def test_a_long_iteration_counts_as_lateness_up_to_the_platforms_allowance() -> None:
+    command = [sys.executable, "-c", LATENESS_SCRIPT]
+    result = subprocess.run(command, capture_output=True, text=True, timeout=30, check=False)
+    assert result.stdout.split()[1:] == ["True"], result.stderr
 
 
-FLOOD = """
+ACCEPT_SCRIPT = """
 import socket
 from micahold.program.loop import install
 reactor = install()
 from twisted.internet.protocol import Protocol, ServerFactory
-turns = [0]
+accepted = [0]  # connections accepted, per iteration
 
 class Server(Protocol):
     def connectionMade(self):
-        if not turns[-1]:
-            reactor.call_at_iteration_end(lambda: turns.append(0))
-        turns[-1] += 1
-        if sum(turns) == 100:
-            print(max(turns))
+        if not accepted[-1]:
+            reactor.call_at_iteration_end(lambda: accepted.append(0))
+        accepted[-1] += 1
+        if sum(accepted) == 100:
+            print(max(accepted))
             reactor.stop()
 
 server = ServerFactory()
 server.protocol = Server
 port = reactor.listenTCP(0, server, backlog=200, interface="127.0.0.1")
-kept = [socket.create_connection(("127.0.0.1", port.getHost().port)) for _ in range(100)]
+connections = [socket.create_connection(("127.0.0.1", port.getHost().port)) for _ in range(100)]
 reactor.callLater(10, reactor.stop)
 reactor.run()
 """
 
 
-def test_hundreds_of_connections_at_once_are_accepted_a_few_a_turn() -> None:
-    done = subprocess.run(
-        [sys.executable, "-c", FLOOD], capture_output=True, text=True, timeout=30, check=False
+def test_simultaneous_connections_are_accepted_in_bounded_numbers_per_iteration() -> None:
+    result = subprocess.run(
+        [sys.executable, "-c", ACCEPT_SCRIPT], capture_output=True, text=True, timeout=30, check=False
     )
-    assert done.stdout.strip() == str(MAX_ACCEPTS_PER_ITERATION), done.stderr
+    assert result.stdout.strip() == str(MAX_ACCEPTS_PER_ITERATION), result.stderr
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -1,4 +1,4 @@
-"""Configuration, log, timers, collector and the phases, without sockets."""
+"""Configuration, log, timers, garbage collection and phases of the front, without sockets."""
 
 from __future__ import annotations
 
@@ -28,23 +28,25 @@
 BROKEN_LIST = {"known": {"cmds": [3]}}
 
 
-def test_a_configuration_is_read() -> None:
-    read = parse_configuration(orjson.dumps(configuration()))
-    assert read.listen == ("127.0.0.1", 4100)
-    assert read.channel == ("127.0.0.1", 7070)
-    assert read.cursor == 3
-    assert [entry.engine for news in read.initial_list_events for entry in news.update.entries] == ["s-1"]
-    assert read.seed == 0x8C1F30D27A5BE964
+def test_a_configuration_is_decoded() -> None:
+    decoded = parse_configuration(orjson.dumps(configuration()))
+    assert decoded.listen == ("127.0.0.1", 4100)
+    assert decoded.channel == ("127.0.0.1", 7070)
+    assert decoded.cursor == 3
+    assert [entry.engine for event in decoded.initial_list_events for entry in event.update.entries] == [
+        "s-1"
+    ]
+    assert decoded.seed == 0x8C1F30D27A5BE964
 
 
-def test_descriptors_are_divided_with_a_reserve_and_bound_the_open_queries() -> None:
-    read = parse_configuration(orjson.dumps(configuration()))
+def test_connection_limits_leave_descriptors_free_and_bound_the_open_queries() -> None:
+    decoded = parse_configuration(orjson.dumps(configuration()))
     assert (
-        read.max_engine_connections + read.max_client_connections
+        decoded.max_engine_connections + decoded.max_client_connections
         < 1024 - 1024 // 8 - MAX_ACCEPTS_PER_ITERATION
     )
-    assert read.max_client_connections >= 1024 // 3
-    assert read.settings.limits.max_open == 1024 // 3
+    assert decoded.max_client_connections >= 1024 // 3
+    assert decoded.settings.limits.max_open == 1024 // 3
 
 
 @pytest.mark.parametrize(
@@ -58,14 +60,14 @@
         {"known": {"cmds": [3]}},
     ],
 )
-def test_a_configuration_that_cannot_be_used_is_one_line(changes: dict[str, Any]) -> None:
+def test_an_unusable_configuration_is_an_error_of_one_line(changes: dict[str, Any]) -> None:
     with pytest.raises(FormatError) as caught:
         parse_configuration(orjson.dumps({**configuration(), **changes}))
     assert "\n" not in str(caught.value)
 
 
 @pytest.mark.parametrize("data", [b"", b"{", b"[]", b"{}", b"\xff"])
-def test_what_is_no_configuration_is_an_error(data: bytes) -> None:
+def test_data_that_is_not_a_configuration_is_an_error(data: bytes) -> None:
     with pytest.raises(FormatError):
         parse_configuration(data)
 
@@ -73,13 +75,13 @@
 # Log
 
 
-def test_a_full_log_pipe_loses_lines_and_stalls_nobody() -> None:
+def test_a_full_log_pipe_drops_lines_without_blocking() -> None:
     reader, writer = os.pipe()
     counters = Counters()
     log = Log(writer, lambda: 1.0, counters)
     log.defer_flushes(lambda: None)
     while log.flush():
-        log("filling", text="x" * 1000)
+        log("fill", text="x" * 1000)
     for _ in range(MAX_BUFFERED_BYTES // 1000 + 10):
         log("more", text="x" * 1000)
     assert counters.values["log_lines_lost"] > 0
@@ -92,9 +94,9 @@
         except BlockingIOError:
             break
     for line in data.splitlines():
-        assert orjson.loads(line)["event"] in ("filling", "more")
+        assert orjson.loads(line)["event"] in ("fill", "more")
     os.close(reader)
-    log("nobody reads")
+    log("reader closed")
     assert log.flush()
     os.close(writer)
 
@@ -102,7 +104,7 @@
 # Timers
 
 
-def test_timers_fire_in_turn_and_never_early_and_cancelled_ones_not_at_all() -> None:
+def test_timers_fire_in_order_and_never_early_and_cancelled_ones_not_at_all() -> None:
     clock, fired = MemoryReactorClock(), list[str]()
     timers = TimerQueue(clock)
     for name, delay in (("c", 3.0), ("a", 1.0), ("b", 2.0), ("x", 1.5)):
@@ -117,7 +119,7 @@
     assert fired == ["a", "b", "c"]
 
 
-def test_cancelled_timers_do_not_pile_up() -> None:
+def test_cancelled_timers_are_removed() -> None:
     clock, fired = MemoryReactorClock(), list[int]()
     timers = TimerQueue(clock)
     for number in range(MAX_CANCELLED_TIMERS * 3):
@@ -140,24 +142,24 @@
     assert fired == ["after"]
 
 
-# GarbageCollector
+# Garbage collection
 
 
-def test_garbage_is_collected_when_nobody_waits_or_too_much_has_piled_up(
+def test_garbage_is_collected_when_idle_or_when_too_many_objects_have_accumulated(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    clock, counted, idle, grown = MemoryReactorClock(), list[str](), [False], [MAX_GROWTH_WHEN_BUSY]
+    clock, counted, idle, growth = MemoryReactorClock(), list[str](), [False], [MAX_GROWTH_WHEN_BUSY]
     monkeypatch.setattr(gc, "collect", lambda: 0)
     monkeypatch.setattr(gc, "freeze", lambda: None)
     monkeypatch.setattr(gc, "disable", lambda: None)
-    monkeypatch.setattr(gc, "get_count", lambda: (grown[0], 0, 0))
+    monkeypatch.setattr(gc, "get_count", lambda: (growth[0], 0, 0))
     GarbageCollector(clock, lambda: idle[0], counted.append).start()
     clock.advance(CHECK_INTERVAL_S)
     assert counted == []
     idle[0] = True
     clock.advance(CHECK_INTERVAL_S)
     assert len(counted) == 1
-    idle[0], grown[0] = False, MAX_GROWTH_WHEN_BUSY + 1
+    idle[0], growth[0] = False, MAX_GROWTH_WHEN_BUSY + 1
     clock.advance(CHECK_INTERVAL_S)
     assert len(counted) == 2
 
@@ -166,7 +168,7 @@
 
 
 class Reactor(MemoryReactorClock):
-    """In memory, with what the front's own reactor adds."""
+    """Twisted's in-memory reactor with the methods that ``FrontReactor`` adds."""
 
     def max_read_delay(self) -> float:
         return 0.0
@@ -174,12 +176,12 @@
     def timer_lateness(self) -> float:
         return 0.0
 
-    def call_at_iteration_end(self, act: Any) -> None:
-        self.callLater(0, act)
+    def call_at_iteration_end(self, call: Any) -> None:
+        self.callLater(0, call)
 
 
-class Run(Network):
-    """A front that has started, its log and whether it has stopped."""
+class FrontHarness(Network):
+    """A started front with its log; ``stopped`` tells whether it has asked the reactor to stop."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         super().__init__()
@@ -217,6 +219,8 @@
 
 
 class RecordingLog:
+    """A log that keeps each event with its fields."""
+
     def __init__(self, logged: list[tuple[str, dict[str, Any]]]) -> None:
         self.logged = logged
 
@@ -227,56 +231,60 @@
         pass
 
 
-def test_with_nothing_open_it_ends_after_the_notice(monkeypatch: pytest.MonkeyPatch) -> None:
-    run = Run(monkeypatch)
-    run.front.begin_shutdown()
-    run.front.begin_shutdown()
-    run.pass_time(NOTICE_PERIOD_S - 0.05)
-    assert run.front.phase is Phase.NOTICE
-    run.pass_time(0.2)
-    assert run.stopped
-    assert run.phases() == ["serving", "notice", "draining", "closing", "stopped"]
-    assert run.logged[-1][0] == "counters"
+def test_an_idle_front_stops_after_the_notice_period(monkeypatch: pytest.MonkeyPatch) -> None:
+    harness = FrontHarness(monkeypatch)
+    harness.front.begin_shutdown()
+    harness.front.begin_shutdown()
+    harness.pass_time(NOTICE_PERIOD_S - 0.05)
+    assert harness.front.phase is Phase.NOTICE
+    harness.pass_time(0.2)
+    assert harness.stopped
+    assert harness.phases() == ["serving", "notice", "draining", "closing", "stopped"]
+    assert harness.logged[-1][0] == "counters"
 
 
-def test_it_takes_queries_through_the_notice_and_answers_all_before_it_ends(
+def test_queries_are_accepted_during_the_notice_period_and_answered_before_the_exit(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    run = Run(monkeypatch)
-    run.front.begin_shutdown()
-    run.pass_time(NOTICE_PERIOD_S / 2)
-    session, transport = run.client()
+    harness = FrontHarness(monkeypatch)
+    harness.front.begin_shutdown()
+    harness.pass_time(NOTICE_PERIOD_S / 2)
+    session, transport = harness.client()
     session.dataReceived(ask(wait=8000))
-    run.pass_time(NOTICE_PERIOD_S)
-    assert not run.stopped
-    assert run.front.phase is Phase.DRAINING
-    run.pass_time(3.0)
-    assert run.stopped
-    assert packets(transport.sent())[0][1][0] == 0xFF  # no engine answered: it is told so before the end
-
-
-def test_it_ends_as_soon_as_all_is_answered(monkeypatch: pytest.MonkeyPatch) -> None:
-    run = Run(monkeypatch)
-    session, _ = run.client()
+    harness.pass_time(NOTICE_PERIOD_S)
+    assert not harness.stopped
+    assert harness.front.phase is Phase.DRAINING
+    harness.pass_time(3.0)
+    assert harness.stopped
+    # No engine answered: the client gets an error before the exit.
+    assert packets(transport.sent())[0][1][0] == 0xFF
+
+
+def test_the_front_stops_as_soon_as_all_queries_are_answered(monkeypatch: pytest.MonkeyPatch) -> None:
+    harness = FrontHarness(monkeypatch)
+    session, _ = harness.client()
     session.dataReceived(ask(wait=60000))
-    run.turn()
-    run.front.begin_shutdown()
-    run.pass_time(NOTICE_PERIOD_S + 0.1)
-    assert not run.stopped
+    harness.turn()
+    harness.front.begin_shutdown()
+    harness.pass_time(NOTICE_PERIOD_S + 0.1)
+    assert not harness.stopped
     session.connectionLost()
-    run.pass_time(0.1 + FLUSH_TIMEOUT_S)
-    assert run.stopped
+    harness.pass_time(0.1 + FLUSH_TIMEOUT_S)
+    assert harness.stopped
 
 
-def test_a_list_event_that_cannot_be_read_is_logged(monkeypatch: pytest.MonkeyPatch) -> None:
-    run = Run(monkeypatch)
-    link = run.links[0].up()
+def test_an_unreadable_list_event_is_logged_and_the_channel_reconnects(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    harness = FrontHarness(monkeypatch)
+    link = harness.links[0].up()
     link.say(b"HTTP/1.1 200 OK\r\n\r\nid: 9\ndata: {}\n\n")
-    assert "list_event_unreadable" in [event for event, _ in run.logged]
-    assert link.transport.aborted  # it is asked for once more, in case it was spoilt on its way
+    assert "list_event_unreadable" in [event for event, _ in harness.logged]
+    # A new connection requests the event once more, in case it was damaged in transit.
+    assert link.transport.aborted
 
 
-def test_an_address_in_use_is_one_line() -> None:
+def test_the_error_for_an_address_in_use_is_one_line() -> None:
     text = format_listen_error(
         error.CannotListenError("127.0.0.1", 4100, OSError(errno.EADDRINUSE, "in use"))
     )
