--- a/micahold/program/configuration.py
+++ b/micahold/program/configuration.py
@@ -76,9 +76,9 @@
         limits = document.get("limits") or {}
         sockets = int(limits.get("sockets") or DEFAULT_SOCKETS)
         # Clients hold a third of the descriptors at most, with one open query per connection.
-        max_open = min(settings.limits.max_open or sockets, sockets // 3)
-        settings = replace(settings, limits=replace(settings.limits, max_open=max_open))
-        kinds = tuple(kind.name for kind in settings.kinds)
+        max_open_queries = min(settings.limits.max_open_queries or sockets, sockets // 3)
+        settings = replace(settings, limits=replace(settings.limits, max_open_queries=max_open_queries))
+        kinds = tuple(kind.name for kind in settings.engine_kinds)
         known = document.get("known") or {}
         list_events = tuple(decode_news(event, settings.zones, kinds) for event in known.get("cmds") or ())
         return Configuration(
--- a/micahold/program/operator.py
+++ b/micahold/program/operator.py
@@ -52,7 +52,9 @@
         self.gossip: Gossip | None = None
         configuration = front.configuration
         if self.settings.gossip is not None and hand is not None and keyring is not None:
-            options = group_options(self.settings.gossip, configuration.name, configuration.settings.gateways)
+            options = group_options(
+                self.settings.gossip, configuration.name, configuration.settings.gateway_count
+            )
             if options.name not in keyring.keys:
                 raise OperatorFileError([f"{self.settings.gossip.members}: no member {options.name}"])
             group = Group(options, hand, keyring, now(), configuration.seed)
@@ -93,8 +95,8 @@
         old, new = self.settings.gossip, settings.gossip
         if self.gossip is not None and old is not None and new is not None and hand and keyring:
             configuration = self.front.configuration
-            told = group_options(old, configuration.name, configuration.settings.gateways)
-            fresh = group_options(new, configuration.name, configuration.settings.gateways)
+            told = group_options(old, configuration.name, configuration.settings.gateway_count)
+            fresh = group_options(new, configuration.name, configuration.settings.gateway_count)
             if told.name not in keyring.keys:
                 self.log("operator_reload_refused", errors=[f"{new.members}: no member {told.name}"])
                 return
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -46,7 +46,7 @@
         < 1024 - 1024 // 8 - MAX_ACCEPTS_PER_ITERATION
     )
     assert decoded.max_client_connections >= 1024 // 3
-    assert decoded.settings.limits.max_open == 1024 // 3
+    assert decoded.settings.limits.max_open_queries == 1024 // 3
 
 
 @pytest.mark.parametrize(
