--- a/micahold/program/front.py
+++ b/micahold/program/front.py
@@ -1,4 +1,4 @@
-"""The program as one object whose states are its phases, from start to exit."""
+"""The process as one object whose states are its phases, from start to exit."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from enum import Enum
 from typing import Any, Protocol
 
-from twisted.internet import error
+from twisted.internet import error as twisted_error
 
 from micahold.counters import Counters
 from micahold.program.collector import GarbageCollector
@@ -23,50 +23,63 @@
 from micahold.transport.directory import EngineDirectory
 
 LISTEN_BACKLOG = 1024
-# Of the platform's notice: connections come for 0.4 s after SIGTERM and requests on them for 0.2 s more;
-# SIGKILL comes no sooner than the longest deadline, 3 s at most of it counted, and 0.7 s.
+# Shutdown as the platform times it: after SIGTERM, connections arrive for 0.4 s and requests on them for
+# 0.2 s more; SIGKILL follows no sooner than 0.7 s plus the longest deadline, of which at most 3 s count.
 NOTICE_PERIOD_S = 0.7
 MAX_COUNTED_DEADLINE_S = 3.0
-KILL_MARGIN_S = 0.25  # all is answered and the program gone this long before
-DECISION_MARGIN_S = 0.1  # before what is still open is failed, the decisions end it
-FLUSH_TIMEOUT_S = 0.3  # for last answers to go out
-POLL_INTERVAL_S = 0.05
-LATENESS_SAMPLE_INTERVAL_S = 0.1  # how often the loop's lateness is measured
+KILL_MARGIN_S = 0.25  # the process has answered everything and exited this long before SIGKILL
+DECISION_MARGIN_S = 0.1  # the controller ends open queries this long before the front fails the rest
+FLUSH_TIMEOUT_S = 0.3  # for the last answers to reach the clients
+POLL_INTERVAL_S = 0.05  # between writes of the log, and between checks for unanswered queries
+LATENESS_SAMPLE_INTERVAL_S = 0.1
 
 
 class Phase(Enum):
-    """Each phase leads to the next only."""
+    """The phases of the process, in order; each is followed by the next one only."""
 
     CONFIGURED = "configured"
     SERVING = "serving"
-    NOTICE = "notice"  # told to end; what comes is still taken
-    DRAINING = "draining"  # the listener is closed; what was taken is being answered
-    CLOSING = "closing"  # last answers go out
+    NOTICE = "notice"  # SIGTERM has arrived; new queries are still accepted
+    DRAINING = "draining"  # the listening socket is closed; accepted queries are being answered
+    CLOSING = "closing"  # the last answers are being sent
     STOPPED = "stopped"
 
 
 def forward_unix_clock() -> Callable[[], float]:
-    """Unix time that only moves forward: the wall clock at the start, then the monotonic clock."""
+    """A clock of Unix seconds that never steps back: the wall clock at the start plus monotonic time."""
     base = time.time() - time.monotonic()
     return lambda: base + time.monotonic()
 
 
 class Subsystems(Protocol):
-    """What the operator's own file switches on beside the front."""
+    """The subsystems that the operator's own file enables beside the front."""
 
-    def start(self) -> None: ...
+    def start(self) -> None:
+        """Start the subsystems; the front calls it once it listens."""
+        ...
 
-    def leave(self) -> None: ...
+    def leave(self) -> None:
+        """Announce the exit to other fronts; the front calls it when the shutdown begins."""
+        ...
 
-    def stop(self) -> None: ...
+    def stop(self) -> None:
+        """Stop the subsystems; the front calls it right before it stops."""
+        ...
 
-    def reload(self) -> None: ...
+    def reload(self) -> None:
+        """Read the operator's own file again and apply what may change in service."""
+        ...
 
-    def counters(self) -> dict[str, int]: ...
+    def counters(self) -> dict[str, int]:
+        """The counters of the subsystems, by name."""
+        ...
 
 
 class Front:
-    """Puts the parts together and takes them through the phases."""
+    """Builds the parts of a front, connects them and takes them through the phases.
+
+    ``clock`` is the reactor, ``now`` returns Unix seconds, ``stop`` stops the reactor.
+    """
 
     def __init__(
         self,
@@ -77,7 +90,10 @@
         counters: Counters,
         stop: Callable[[], None],
     ) -> None:
-        self.configuration, self.clock, self.log, self.counters = configuration, clock, log, counters
+        self.configuration = configuration
+        self.clock = clock
+        self.log = log
+        self.counters = counters
         self._stop = stop
         self.phase = Phase.CONFIGURED
         settings = configuration.settings
@@ -113,96 +129,106 @@
             configuration.max_client_bytes,
         )
         self.channel = CommandChannel(
-            clock, configuration.channel, configuration.cursor, self._list_event, counters, log
+            clock, configuration.channel, configuration.cursor, self._apply_list_event, counters, log
         )
         self.collector = GarbageCollector(clock, lambda: self.exchange.unanswered == 0, counters.add)
         self.subsystems: Subsystems | None = None
         self._port: Any = None
-        self._give_up_at = 0.0
+        self._drain_deadline = 0.0
 
     def _enter(self, phase: Phase) -> None:
         self.phase = phase
         self.log("phase", phase=phase.value)
 
     def start(self) -> None:
-        """The known list, then the channel and clients; ``CannotListenError`` if the address is taken."""
-        self.log.defer_flushes(lambda: self.clock.callLater(POLL_INTERVAL_S, self._write_log))
-        for news in self.configuration.initial_list_events:
-            self.exchange.list_changed(news)
+        """Apply the initial engine list, then start the listener and the command channel.
+
+        Raises ``CannotListenError`` if the address is in use.
+        """
+        self.log.defer_flushes(lambda: self.clock.callLater(POLL_INTERVAL_S, self._flush_log))
+        for list_event in self.configuration.initial_list_events:
+            self.exchange.list_changed(list_event)
         host, port = self.configuration.listen
         self._port = self.clock.listenTCP(port, self.sessions, backlog=LISTEN_BACKLOG, interface=host)
         self.channel.start()
         if self.subsystems is not None:
             self.subsystems.start()
         self.clock.callLater(
-            LATENESS_SAMPLE_INTERVAL_S, self._measure_lag, self.clock.seconds() + LATENESS_SAMPLE_INTERVAL_S
+            LATENESS_SAMPLE_INTERVAL_S,
+            self._sample_lateness,
+            self.clock.seconds() + LATENESS_SAMPLE_INTERVAL_S,
         )
         self.collector.start()
         self._enter(Phase.SERVING)
 
-    def _write_log(self) -> None:
+    def _flush_log(self) -> None:
         if not self.log.flush():
-            self.clock.callLater(POLL_INTERVAL_S, self._write_log)
+            self.clock.callLater(POLL_INTERVAL_S, self._flush_log)
 
-    def _measure_lag(self, due: float) -> None:
+    def _sample_lateness(self, due: float) -> None:
+        """Record how long after ``due``, in the reactor's time, this timer has fired."""
         now = self.clock.seconds()
         self.counters.most("loop_late_ms", round((now - due) * 1000))
-        self.clock.callLater(LATENESS_SAMPLE_INTERVAL_S, self._measure_lag, now + LATENESS_SAMPLE_INTERVAL_S)
+        self.clock.callLater(
+            LATENESS_SAMPLE_INTERVAL_S, self._sample_lateness, now + LATENESS_SAMPLE_INTERVAL_S
+        )
 
-    def _list_event(self, data: bytes) -> bool:
-        """False where it can't be read."""
+    def _apply_list_event(self, data: bytes) -> bool:
+        """Apply an event of the engine list; False where it is unreadable."""
         settings = self.configuration.settings
         try:
-            news: ListNews = parse_news(
+            list_event: ListNews = parse_news(
                 data, settings.zones, tuple(kind.name for kind in settings.engine_kinds)
             )
-        except ProtocolError as problem:
+        except ProtocolError as error:
             self.counters.add("list_events_unreadable")
-            self.log("list_event_unreadable", error=str(problem))
+            self.log("list_event_unreadable", error=str(error))
             return False
-        self.exchange.list_changed(news)
+        self.exchange.list_changed(list_event)
         return True
 
-    # New configurations
+    # Reload
 
     def reload_configuration(self, read: Callable[[], Configuration]) -> None:
-        """SIGHUP: the channel's address is taken over, all else holds until a restart.
+        """Apply the address of the command channel; all other changes apply on a restart only.
 
-        Guards against an end on SIGHUP, and against a file that is missing, half written or unusable:
-        then everything stays as it is.
+        A file that is missing, half written or unusable changes nothing, so that SIGHUP never ends the
+        process.
         """
         try:
             new = read()
-        except FormatError as problem:
+        except FormatError as error:
             self.counters.add("reloads_refused")
-            self.log("reload_refused", error=str(problem))
+            self.log("reload_refused", error=str(error))
             return
         old = self.configuration
         names = ("name", "listen", "settings", "sockets", "memory_mb")
-        on_restart = [name for name in names if getattr(new, name) != getattr(old, name)]
-        moved = new.channel != self.channel.address
+        only_on_restart = [name for name in names if getattr(new, name) != getattr(old, name)]
+        channel_moved = new.channel != self.channel.address
         self.counters.add("reloads_taken_over")
-        self.log("reload", channel_moved=moved, only_on_restart=on_restart)
+        self.log("reload", channel_moved=channel_moved, only_on_restart=only_on_restart)
         self.channel.change_address(new.channel)
 
     def reload(self, read: Callable[[], Configuration]) -> None:
-        """SIGHUP: the platform's file and the operator's, each for itself."""
+        """Handle SIGHUP: reload the platform's configuration and the operator's file independently."""
         self.reload_configuration(read)
         if self.subsystems is not None:
             self.subsystems.reload()
 
-    # The end
+    # Shutdown
 
     def begin_shutdown(self) -> None:
-        """SIGTERM; a second one changes nothing."""
+        """Handle SIGTERM: begin the notice period; a second signal changes nothing."""
         if self.phase is not Phase.SERVING:
             return
         self._enter(Phase.NOTICE)
-        longest = max((one.deadline_s for one in self.configuration.settings.classes), default=0.0)
-        kill_after = min(longest, MAX_COUNTED_DEADLINE_S) + NOTICE_PERIOD_S
-        left = max(NOTICE_PERIOD_S, kill_after - KILL_MARGIN_S - FLUSH_TIMEOUT_S)
-        self._give_up_at = self.clock.seconds() + left
-        self.exchange.close_within(left - DECISION_MARGIN_S)
+        longest_deadline_s = max(
+            (query_class.deadline_s for query_class in self.configuration.settings.classes), default=0.0
+        )
+        kill_after_s = min(longest_deadline_s, MAX_COUNTED_DEADLINE_S) + NOTICE_PERIOD_S
+        drain_s = max(NOTICE_PERIOD_S, kill_after_s - KILL_MARGIN_S - FLUSH_TIMEOUT_S)
+        self._drain_deadline = self.clock.seconds() + drain_s
+        self.exchange.close_within(drain_s - DECISION_MARGIN_S)
         if self.subsystems is not None:
             self.subsystems.leave()
         self.clock.callLater(NOTICE_PERIOD_S, self._drain)
@@ -213,8 +239,11 @@
         self._await_answers()
 
     def _await_answers(self) -> None:
-        """What no engine has answered by the last moment is failed: an exit must leave nothing open."""
-        if self.exchange.unanswered and self.clock.seconds() < self._give_up_at:
+        """Wait for answers until the drain deadline, then fail all open queries.
+
+        No query stays without an answer when the process exits.
+        """
+        if self.exchange.unanswered and self.clock.seconds() < self._drain_deadline:
             self.clock.callLater(POLL_INTERVAL_S, self._await_answers)
             return
         self._enter(Phase.CLOSING)
@@ -223,11 +252,12 @@
             self.exchange.give_up_all("server shutdown in progress")
         self.channel.stop()
         self.sessions.close_idle()
-        self._close_by = self.clock.seconds() + FLUSH_TIMEOUT_S
+        self._flush_deadline = self.clock.seconds() + FLUSH_TIMEOUT_S
         self._await_sessions()
 
     def _await_sessions(self) -> None:
-        if len(self.sessions) and self.clock.seconds() < self._close_by:
+        """Wait for sessions to send their last answers until the flush deadline, then stop."""
+        if len(self.sessions) and self.clock.seconds() < self._flush_deadline:
             self.clock.callLater(POLL_INTERVAL_S / 5, self._await_sessions)
             return
         self.sessions.abort_all()
@@ -238,9 +268,11 @@
         self._stop()
 
     def log_counters(self) -> None:
-        more = self.subsystems.counters() if self.subsystems is not None else {}
-        self.log("counters", open=self.exchange.unanswered, **self.counters.snapshot(), **more)
+        """Log all counters of the front and its subsystems."""
+        subsystem_counters = self.subsystems.counters() if self.subsystems is not None else {}
+        self.log("counters", open=self.exchange.unanswered, **self.counters.snapshot(), **subsystem_counters)
 
 
-def format_listen_error(problem: error.CannotListenError) -> str:
-    return f"cannot listen on {problem.interface}:{problem.port}: {problem.socketError}"
+def format_listen_error(error: twisted_error.CannotListenError) -> str:
+    """One line of text with the address and the reason."""
+    return f"cannot listen on {error.interface}:{error.port}: {error.socketError}"
--- a/micahold/program/operator.py
+++ b/micahold/program/operator.py
@@ -1,4 +1,7 @@
-"""What the operator's own file switches on, around a front; imported only where that file is named."""
+"""The subsystems that the operator's own file enables around a front.
+
+The module is imported only where ``MICAHOLD_OPERATOR`` names such a file.
+"""
 
 from __future__ import annotations
 
@@ -17,18 +20,24 @@
 
 
 def read_settings_and_keys(path: str) -> tuple[OperatorSettings, Hand | None, Keyring | None]:
-    """The file and the key files it names; ``OperatorFileError`` where any can't be used."""
+    """The operator's file at ``path`` with the keys it names, which are None where gossip is off.
+
+    Raises ``OperatorFileError`` where one of the files is not usable.
+    """
     settings = read_settings_file(path)
     if settings.gossip is None:
         return settings, None, None
     try:
         return settings, Hand(read_own(settings.gossip.keys)), read_members(settings.gossip.members)
-    except KeyFileError as problem:
-        raise OperatorFileError([str(problem)]) from None
+    except KeyFileError as error:
+        raise OperatorFileError([str(error)]) from None
+
 
+def group_options(gossip: GossipSettings, front_name: str, gateway_count: int) -> Options:
+    """The options of the group according to the settings of the operator's file.
 
-def group_options(gossip: GossipSettings, front_name: str, told: int) -> Options:
-    """The settings as the group wants them."""
+    ``front_name`` and ``gateway_count`` come from the platform's configuration.
+    """
     return Options(
         name=gossip.name or front_name,
         address=gossip.advertise or gossip.listen,
@@ -39,25 +48,32 @@
         probe_timeout=gossip.probe_timeout,
         clock_error=gossip.clock_error,
         gone=gossip.gone,
-        told=told,
+        told=gateway_count,
     )
 
 
 class OperatorSubsystems:
-    """The subsystems that are on; ``OperatorFileError`` from the constructor where they can't be."""
+    """Creates the subsystems that the file at ``path`` enables, connects them to ``front`` and runs them.
+
+    ``clock`` is the reactor, ``now`` returns Unix seconds. The constructor raises ``OperatorFileError`` where
+    the file, a key file it names or the member's name is not usable.
+    """
 
     def __init__(self, path: str, front: Front, clock: Any, now: Callable[[], float], log: Any) -> None:
-        self.path, self.front, self.now, self.log = path, front, now, log
-        self.settings, hand, keyring = read_settings_and_keys(path)
+        self.path = path
+        self.front = front
+        self.now = now
+        self.log = log
+        self.settings, signer, keyring = read_settings_and_keys(path)
         self.gossip: Gossip | None = None
         configuration = front.configuration
-        if self.settings.gossip is not None and hand is not None and keyring is not None:
+        if self.settings.gossip is not None and signer is not None and keyring is not None:
             options = group_options(
                 self.settings.gossip, configuration.name, configuration.settings.gateway_count
             )
             if options.name not in keyring.keys:
                 raise OperatorFileError([f"{self.settings.gossip.members}: no member {options.name}"])
-            group = Group(options, hand, keyring, now(), configuration.seed)
+            group = Group(options, signer, keyring, now(), configuration.seed)
             self.gossip = Gossip(
                 clock,
                 now,
@@ -70,39 +86,50 @@
             front.exchange.observer = self.gossip.observe
 
     def start(self) -> None:
+        """Start gossip if it is on; ``CannotListenError`` where its address is in use."""
         if self.gossip is not None:
             self.gossip.start()
 
     def leave(self) -> None:
+        """Announce the exit of this member to the group."""
         if self.gossip is not None:
             self.gossip.leave()
 
     def stop(self) -> None:
+        """Stop gossip if it is on."""
         if self.gossip is not None:
             self.gossip.stop()
 
     def counters(self) -> dict[str, int]:
+        """The counters of gossip; empty where it is off."""
         return self.gossip.counters() if self.gossip is not None else {}
 
     def reload(self) -> None:
-        """SIGHUP: what can change in service does; a file that can't be used changes nothing."""
+        """Apply the settings and keys that may change in service; an unusable file changes nothing."""
         try:
-            settings, hand, keyring = read_settings_and_keys(self.path)
-        except OperatorFileError as problem:
-            self.log("operator_reload_refused", errors=problem.problems)
+            settings, signer, keyring = read_settings_and_keys(self.path)
+        except OperatorFileError as error:
+            self.log("operator_reload_refused", errors=error.problems)
             return
-        taken, waits = changed_settings(self.settings, settings)
-        old, new = self.settings.gossip, settings.gossip
-        if self.gossip is not None and old is not None and new is not None and hand and keyring:
+        applied, on_restart = changed_settings(self.settings, settings)
+        old = self.settings.gossip
+        new = settings.gossip
+        if self.gossip is not None and old is not None and new is not None and signer and keyring:
             configuration = self.front.configuration
-            told = group_options(old, configuration.name, configuration.settings.gateway_count)
-            fresh = group_options(new, configuration.name, configuration.settings.gateway_count)
-            if told.name not in keyring.keys:
-                self.log("operator_reload_refused", errors=[f"{new.members}: no member {told.name}"])
+            old_options = group_options(old, configuration.name, configuration.settings.gateway_count)
+            new_options = group_options(new, configuration.name, configuration.settings.gateway_count)
+            if old_options.name not in keyring.keys:
+                self.log("operator_reload_refused", errors=[f"{new.members}: no member {old_options.name}"])
                 return
-            # Only what may change in service; the rest stays as it was at the start.
-            kept = replace(told, seeds=fresh.seeds, rate=fresh.rate, rate_in=fresh.rate_in, gone=fresh.gone)
-            self.gossip.reconfigure(kept, hand, keyring, new.hearsay)
-        self.log("operator_reload", taken_over=taken, only_on_restart=waits)
-        if not waits:
+            # The settings that need a restart keep their values from the start.
+            options = replace(
+                old_options,
+                seeds=new_options.seeds,
+                rate=new_options.rate,
+                rate_in=new_options.rate_in,
+                gone=new_options.gone,
+            )
+            self.gossip.reconfigure(options, signer, keyring, new.hearsay)
+        self.log("operator_reload", taken_over=applied, only_on_restart=on_restart)
+        if not on_restart:
             self.settings = settings
