--- a/micahold/commands/keys.py
+++ b/micahold/commands/keys.py
@@ -12,12 +12,12 @@
 from micahold.membership.keyring import PublicKey
 from micahold.membership.signing import (
     KeyFileError,
-    OwnKey,
-    make_key,
-    read_members,
-    read_own,
-    write_members,
-    write_own,
+    SigningKey,
+    generate_key,
+    read_keyring,
+    read_signing_keys,
+    write_public_keys,
+    write_signing_keys,
 )
 from micahold.program import units
 
@@ -37,14 +37,14 @@
     """
 
 
-def _read_own_keys(path: str) -> list[OwnKey]:
-    return read_own(path) if Path(path).exists() else []
+def _read_own_keys(path: str) -> list[SigningKey]:
+    return read_signing_keys(path) if Path(path).exists() else []
 
 
 def _read_public_keys(path: str) -> list[PublicKey]:
     if not Path(path).exists():
         return []
-    return [key for keys in read_members(path).keys.values() for key in keys.values()]
+    return [key for keys in read_keyring(path).keys.values() for key in keys.values()]
 
 
 def _command_error(error: KeyFileError) -> click.ClickException:
@@ -61,7 +61,7 @@
     """Make a key and add it to the member's own key file, which only the file's owner can read."""
     try:
         keys = _read_own_keys(own)
-        ids = {key.key for key in keys}
+        ids = {key.key_id for key in keys}
         new_id = name or next(f"k{number}" for number in range(1, len(keys) + 2) if f"k{number}" not in ids)
         if new_id in ids:
             raise KeyFileError(f"{own}: already has a key {new_id}")
@@ -72,7 +72,7 @@
                 until = (now + timedelta(seconds=units.duration(lasts))).timestamp()
             except ValueError as error:
                 raise click.UsageError(f"--lasts: expected {error}") from None
-        write_own(own, [*keys, make_key(new_id, now.timestamp() if keys else 0.0, until)])
+        write_signing_keys(own, [*keys, generate_key(new_id, now.timestamp() if keys else 0.0, until)])
     except KeyFileError as error:
         raise _command_error(error) from None
     click.echo(f"{own}: key {new_id} made")
@@ -85,9 +85,9 @@
 def trust(own: str, members: str, name: str) -> None:
     """Put the public parts of a member's own keys into the file of all members, in place of its old ones."""
     try:
-        own_public = [key.public(name) for key in read_own(own)]
+        own_public = [key.public_key(name) for key in read_signing_keys(own)]
         others = [key for key in _read_public_keys(members) if key.member != name]
-        write_members(members, [*others, *own_public])
+        write_public_keys(members, [*others, *own_public])
     except KeyFileError as error:
         raise _command_error(error) from None
     click.echo(f"{members}: {name} with {len(own_public)} keys")
@@ -112,12 +112,12 @@
         ]
         if len(after) == len(before):
             raise KeyFileError(f"{members}: no such key")
-        write_members(members, after)
+        write_public_keys(members, after)
         if own is not None and key is not None:
-            remaining = [own_key for own_key in read_own(own) if own_key.key != key]
+            remaining = [own_key for own_key in read_signing_keys(own) if own_key.key_id != key]
             if not remaining:
                 raise KeyFileError(f"{own}: {key} is the only key in it")
-            write_own(own, remaining)
+            write_signing_keys(own, remaining)
     except KeyFileError as error:
         raise _command_error(error) from None
     click.echo(f"{members}: {len(before) - len(after)} retired")
--- a/micahold/commands/members.py
+++ b/micahold/commands/members.py
@@ -11,23 +11,23 @@
 import orjson
 
 from micahold.membership import wire
-from micahold.membership.signing import Hand, KeyFileError, read_own
+from micahold.membership.signing import Ed25519Signer, KeyFileError, read_signing_keys
 from micahold.program.operator_file import OperatorFileError, read_settings_file
 
 ANSWER_TIMEOUT_S = 5.0
 MAX_ANSWER_BYTES = 1 << 24
 
 
-def request_view(address: tuple[str, int], name: str, hand: Hand) -> dict[str, Any]:
+def request_view(address: tuple[str, int], name: str, signer: Ed25519Signer) -> dict[str, Any]:
     """The view of the member at ``address``; ``OSError`` where it does not answer.
 
-    The request is signed with ``hand`` in the name of ``name``, since a front answers its own member only.
+    The request is signed with ``signer`` in the name of ``name``, since a front answers its own member only.
     """
     now = time.time()
-    body = wire.encode(wire.Packet(name, 0, 0, int(now * 1000), (wire.View(),), ()))
-    key, _ = hand.sign(now, b"")
-    key, signature = hand.sign(now, wire.signed_bytes(wire.Kind.PACKET, name, key, body))
-    frame = wire.encode(wire.Signed(wire.Kind.PACKET, name, key, body, signature))
+    body = wire.encode(wire.Packet(name, 0, 0, int(now * 1000), (wire.ViewRequest(),), ()))
+    key, _ = signer.sign(now, b"")
+    key, signature = signer.sign(now, wire.signed_bytes(wire.StatementKind.PACKET, name, key, body))
+    frame = wire.encode(wire.SignedStatement(wire.StatementKind.PACKET, name, key, body, signature))
     with socket.create_connection(address, ANSWER_TIMEOUT_S) as connection:
         connection.sendall(len(frame).to_bytes(4, "big") + frame)
         data = bytearray()
@@ -59,7 +59,7 @@
         if own is None:
             raise click.UsageError("the file sets no name: --name is required")
         address = gossip.listen
-        answer = request_view(address, own, Hand(read_own(gossip.keys)))
+        answer = request_view(address, own, Ed25519Signer(read_signing_keys(gossip.keys)))
     except (OperatorFileError, KeyFileError) as error:
         raise click.ClickException(str(error)) from None
     except OSError as error:
--- a/micahold/program/front.py
+++ b/micahold/program/front.py
@@ -116,7 +116,7 @@
             counters,
             log,
             clock.call_at_iteration_end,
-            late_by=clock.timer_lateness,
+            timer_lateness=clock.timer_lateness,
         )
         self.sessions = ClientSessions(
             clock,
@@ -131,7 +131,7 @@
         self.channel = CommandChannel(
             clock, configuration.channel, configuration.cursor, self._apply_list_event, counters, log
         )
-        self.collector = GarbageCollector(clock, lambda: self.exchange.unanswered == 0, counters.add)
+        self.collector = GarbageCollector(clock, lambda: self.exchange.unanswered_count == 0, counters.add)
         self.subsystems: Subsystems | None = None
         self._port: Any = None
         self._drain_deadline = 0.0
@@ -147,7 +147,7 @@
         """
         self.log.defer_flushes(lambda: self.clock.callLater(POLL_INTERVAL_S, self._flush_log))
         for list_event in self.configuration.initial_list_events:
-            self.exchange.list_changed(list_event)
+            self.exchange.apply_list_update(list_event)
         host, port = self.configuration.listen
         self._port = self.clock.listenTCP(port, self.sessions, backlog=LISTEN_BACKLOG, interface=host)
         self.channel.start()
@@ -168,7 +168,7 @@
     def _sample_lateness(self, due: float) -> None:
         """Record how long after ``due``, in the reactor's time, this timer has fired."""
         now = self.clock.seconds()
-        self.counters.most("loop_late_ms", round((now - due) * 1000))
+        self.counters.record_max("loop_late_ms", round((now - due) * 1000))
         self.clock.callLater(
             LATENESS_SAMPLE_INTERVAL_S, self._sample_lateness, now + LATENESS_SAMPLE_INTERVAL_S
         )
@@ -184,7 +184,7 @@
             self.counters.add("list_events_unreadable")
             self.log("list_event_unreadable", error=str(error))
             return False
-        self.exchange.list_changed(list_event)
+        self.exchange.apply_list_update(list_event)
         return True
 
     # Reload
@@ -228,7 +228,7 @@
         kill_after_s = min(longest_deadline_s, MAX_COUNTED_DEADLINE_S) + NOTICE_PERIOD_S
         drain_s = max(NOTICE_PERIOD_S, kill_after_s - KILL_MARGIN_S - FLUSH_TIMEOUT_S)
         self._drain_deadline = self.clock.seconds() + drain_s
-        self.exchange.close_within(drain_s - DECISION_MARGIN_S)
+        self.exchange.begin_shutdown(drain_s - DECISION_MARGIN_S)
         if self.subsystems is not None:
             self.subsystems.leave()
         self.clock.callLater(NOTICE_PERIOD_S, self._drain)
@@ -243,13 +243,13 @@
 
         No query stays without an answer when the process exits.
         """
-        if self.exchange.unanswered and self.clock.seconds() < self._drain_deadline:
+        if self.exchange.unanswered_count and self.clock.seconds() < self._drain_deadline:
             self.clock.callLater(POLL_INTERVAL_S, self._await_answers)
             return
         self._enter(Phase.CLOSING)
-        if self.exchange.unanswered:
-            self.log("given_up_at_exit", queries=self.exchange.unanswered)
-            self.exchange.give_up_all("server shutdown in progress")
+        if self.exchange.unanswered_count:
+            self.log("given_up_at_exit", queries=self.exchange.unanswered_count)
+            self.exchange.fail_open_queries("server shutdown in progress")
         self.channel.stop()
         self.sessions.close_idle()
         self._flush_deadline = self.clock.seconds() + FLUSH_TIMEOUT_S
@@ -270,7 +270,9 @@
     def log_counters(self) -> None:
         """Log all counters of the front and its subsystems."""
         subsystem_counters = self.subsystems.counters() if self.subsystems is not None else {}
-        self.log("counters", open=self.exchange.unanswered, **self.counters.snapshot(), **subsystem_counters)
+        self.log(
+            "counters", open=self.exchange.unanswered_count, **self.counters.snapshot(), **subsystem_counters
+        )
 
 
 def format_listen_error(error: twisted_error.CannotListenError) -> str:
--- a/micahold/program/operator.py
+++ b/micahold/program/operator.py
@@ -9,17 +9,17 @@
 from dataclasses import replace
 from typing import Any
 
-from micahold.membership.group import Group, Options
+from micahold.membership.group import Group, GroupOptions
 from micahold.membership.keyring import Keyring
-from micahold.membership.service import Gossip
-from micahold.membership.signing import Hand, KeyFileError, read_members, read_own
+from micahold.membership.service import GossipService
+from micahold.membership.signing import Ed25519Signer, KeyFileError, read_keyring, read_signing_keys
 from micahold.program.front import Front
 from micahold.program.operator_file import OperatorFileError, changed_settings, read_settings_file
 from micahold.program.operator_settings import GossipSettings, OperatorSettings
 from micahold.program.structured import bind_logger
 
 
-def read_settings_and_keys(path: str) -> tuple[OperatorSettings, Hand | None, Keyring | None]:
+def read_settings_and_keys(path: str) -> tuple[OperatorSettings, Ed25519Signer | None, Keyring | None]:
     """The operator's file at ``path`` with the keys it names, which are None where gossip is off.
 
     Raises ``OperatorFileError`` where one of the files is not usable.
@@ -28,17 +28,21 @@
     if settings.gossip is None:
         return settings, None, None
     try:
-        return settings, Hand(read_own(settings.gossip.keys)), read_members(settings.gossip.members)
+        return (
+            settings,
+            Ed25519Signer(read_signing_keys(settings.gossip.keys)),
+            read_keyring(settings.gossip.members),
+        )
     except KeyFileError as error:
         raise OperatorFileError([str(error)]) from None
 
 
-def group_options(gossip: GossipSettings, front_name: str, gateway_count: int) -> Options:
+def group_options(gossip: GossipSettings, front_name: str, gateway_count: int) -> GroupOptions:
     """The options of the group according to the settings of the operator's file.
 
     ``front_name`` and ``gateway_count`` come from the platform's configuration.
     """
-    return Options(
+    return GroupOptions(
         name=gossip.name or front_name,
         address=gossip.advertise or gossip.listen,
         seeds=gossip.seeds,
@@ -47,8 +51,8 @@
         period=gossip.period,
         probe_timeout=gossip.probe_timeout,
         clock_error=gossip.clock_error,
-        gone=gossip.gone,
-        told=gateway_count,
+        removed_members=gossip.gone,
+        configured_gateways=gateway_count,
     )
 
 
@@ -65,7 +69,7 @@
         self.now = now
         self.log = log
         self.settings, signer, keyring = read_settings_and_keys(path)
-        self.gossip: Gossip | None = None
+        self.gossip: GossipService | None = None
         configuration = front.configuration
         if self.settings.gossip is not None and signer is not None and keyring is not None:
             options = group_options(
@@ -74,13 +78,13 @@
             if options.name not in keyring.keys:
                 raise OperatorFileError([f"{self.settings.gossip.members}: no member {options.name}"])
             group = Group(options, signer, keyring, now(), configuration.seed)
-            self.gossip = Gossip(
+            self.gossip = GossipService(
                 clock,
                 now,
                 group,
                 self.settings.gossip.listen,
                 bind_logger(log, part="gossip").info,
-                front.exchange.tell,
+                front.exchange.post_event,
                 self.settings.gossip.hearsay,
             )
             front.exchange.observer = self.gossip.observe
@@ -127,7 +131,7 @@
                 seeds=new_options.seeds,
                 rate=new_options.rate,
                 rate_in=new_options.rate_in,
-                gone=new_options.gone,
+                removed_members=new_options.removed_members,
             )
             self.gossip.reconfigure(options, signer, keyring, new.hearsay)
         self.log("operator_reload", taken_over=applied, only_on_restart=on_restart)
--- a/micahold/transport/calls.py
+++ b/micahold/transport/calls.py
@@ -302,7 +302,7 @@
         call.self_identifying = self_identifying
         if self.waiting_calls or not self._dispatch(call):
             heappush(self.waiting_calls, (due_at, next(self._sequence), call))
-            self.counters.most("calls_in_line", len(self.waiting_calls))
+            self.counters.record_max("calls_in_line", len(self.waiting_calls))
         return call
 
     def dispatch_waiting(self) -> None:
@@ -330,7 +330,7 @@
         if self.open_connections >= self.max_connections and not self._evict_longest_idle():
             return False
         self.open_connections += 1
-        self.counters.most("engine_connections", self.open_connections)
+        self.counters.record_max("engine_connections", self.open_connections)
         self.counters.add("engine_connects")
         self.clock.connectTCP(*address, _ConnectionFactory(self, address, call), timeout=self.connect_timeout)
         return True
