--- a/micahold/program/configuration.py
+++ b/micahold/program/configuration.py
@@ -9,7 +9,7 @@
 import orjson
 
 from micahold import interface as api
-from micahold.protocol.engine_list import ListNews, decode_news, parse_address
+from micahold.protocol.engine_list import EngineListEvent, decode_list_event, parse_address
 from micahold.settings import FormatError, decode_settings
 
 MAX_ACCEPTS_PER_ITERATION = 16  # connections taken in one turn of the loop
@@ -28,7 +28,7 @@
     channel: tuple[str, int]
     seed: int
     settings: api.Settings
-    initial_list_events: tuple[ListNews, ...]
+    initial_list_events: tuple[EngineListEvent, ...]
     cursor: int
     sockets: int
     memory_mb: float = DEFAULT_MEMORY_MB
@@ -71,7 +71,7 @@
         settings = replace(settings, limits=replace(settings.limits, max_open_queries=places))
         kinds = tuple(kind.name for kind in settings.engine_kinds)
         known = item.get("known") or {}
-        news = tuple(decode_news(event, settings.zones, kinds) for event in known.get("cmds") or ())
+        news = tuple(decode_list_event(event, settings.zones, kinds) for event in known.get("cmds") or ())
         return Configuration(
             name=str(item.get("name", "")),
             listen=parse_address(str(item["listen"])),
--- a/micahold/program/front.py
+++ b/micahold/program/front.py
@@ -13,7 +13,7 @@
 from micahold.program.collector import GarbageCollector
 from micahold.program.configuration import Configuration
 from micahold.program.log import Log
-from micahold.protocol.engine_list import ListNews, parse_news
+from micahold.protocol.engine_list import EngineListEvent, parse_list_event
 from micahold.protocol.errors import ProtocolError
 from micahold.routing.exchange import Exchange
 from micahold.settings import FormatError
@@ -153,7 +153,7 @@
         """False where it can't be read."""
         settings = self.configuration.settings
         try:
-            news: ListNews = parse_news(
+            news: EngineListEvent = parse_list_event(
                 data, settings.zones, tuple(kind.name for kind in settings.engine_kinds)
             )
         except ProtocolError as problem:
--- a/micahold/protocol/engine_list.py
+++ b/micahold/protocol/engine_list.py
@@ -15,7 +15,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class ListNews:
+class EngineListEvent:
     """One numbered event: what the decisions are told, and where the engines listen."""
 
     cursor: int
@@ -37,7 +37,9 @@
     return names.index(value) if value in names else len(names)
 
 
-def decode_news(event: Mapping[str, Any], zones: tuple[str, ...], kinds: tuple[str, ...]) -> ListNews:
+def decode_list_event(
+    event: Mapping[str, Any], zones: tuple[str, ...], kinds: tuple[str, ...]
+) -> EngineListEvent:
     """One event, already parsed as JSON."""
     try:
         nodes = event["nodes"]
@@ -62,14 +64,14 @@
             )
         kind = api.ListKind.FULL if nodes.get("complete") else api.ListKind.CHANGES
         update = api.ListUpdate(kind, int(nodes.get("revision") or 0), tuple(entries))
-        return ListNews(int(event["cursor"]), update, addresses)
+        return EngineListEvent(int(event["cursor"]), update, addresses)
     except ProtocolError:
         raise
     except (AttributeError, KeyError, TypeError, ValueError) as error:
         raise ProtocolError(f"bad list event: {error!r}") from None
 
 
-def parse_news(data: bytes, zones: tuple[str, ...], kinds: tuple[str, ...]) -> ListNews:
+def parse_list_event(data: bytes, zones: tuple[str, ...], kinds: tuple[str, ...]) -> EngineListEvent:
     """One event as the channel's bytes."""
     try:
         event = orjson.loads(data)
@@ -77,4 +79,4 @@
         raise ProtocolError(f"list event is not JSON: {error}") from None
     if not isinstance(event, dict):
         raise ProtocolError("list event is not an object")
-    return decode_news(event, zones, kinds)
+    return decode_list_event(event, zones, kinds)
--- a/micahold/protocol/event_stream.py
+++ b/micahold/protocol/event_stream.py
@@ -10,25 +10,25 @@
 
 
 @dataclass(slots=True, frozen=True)
-class ServerEvent:
-    """One event; ``id`` is the last that the stream gave."""
+class ServerSentEvent:
+    """One event; ``last_event_id`` is the last that the stream gave."""
 
-    id: bytes
+    last_event_id: bytes
     data: bytes
 
 
-class EventStream:
+class EventStreamParser:
     """Takes the bytes of one stream; comments and fields that are not known are passed over."""
 
-    def __init__(self, most_line: int = MOST_LINE) -> None:
-        self._most = most_line
+    def __init__(self, max_line_bytes: int = MOST_LINE) -> None:
+        self._most = max_line_bytes
         self._kept = bytearray()
         self._skip_feed = False  # the last line ended in a carriage return: a line feed belongs to it
         self._id = b""
         self._data: list[bytes] = []
         self._size = 0
 
-    def feed(self, data: bytes) -> list[ServerEvent]:
+    def feed(self, data: bytes) -> list[ServerSentEvent]:
         """The events that are whole now."""
         if self._skip_feed and data:
             data = data.removeprefix(b"\n")
@@ -46,10 +46,10 @@
                 events.append(event)
         return events
 
-    def _line(self, line: bytes) -> ServerEvent | None:
+    def _line(self, line: bytes) -> ServerSentEvent | None:
         if not line:
             data, self._data, self._size = self._data, [], 0
-            return ServerEvent(self._id, b"\n".join(data)) if data else None
+            return ServerSentEvent(self._id, b"\n".join(data)) if data else None
         name, _, value = line.partition(b":")
         value = value.removeprefix(b" ")
         if name == b"data":
--- a/micahold/protocol/http_messages.py
+++ b/micahold/protocol/http_messages.py
@@ -6,8 +6,8 @@
 
 from micahold.protocol.errors import ProtocolError
 
-MOST_HEAD = 16 * 1024
-MOST_BODY = 64 * 1024
+MAX_HEAD_BYTES = 16 * 1024
+MAX_BODY_BYTES = 64 * 1024
 MOST_INTERIM = 16  # interim answers ahead of one answer
 LONGEST_LINE = 1024  # of a chunk size or a trailer
 START = b"HTTP/1."
@@ -16,13 +16,13 @@
 
 
 @dataclass(slots=True)
-class Answer:
+class HttpResponse:
     """One whole answer; names of headers are in lower case."""
 
     status: int
     headers: dict[bytes, bytes]
     body: bytes
-    keeps_open: bool
+    keep_alive: bool
 
 
 def encode_request(
@@ -39,7 +39,7 @@
     return b"\r\n".join(lines) + b"\r\n\r\n" + (body or b"")
 
 
-def parse_head(head: bytes) -> tuple[int, dict[bytes, bytes], bool]:
+def parse_response_head(head: bytes) -> tuple[int, dict[bytes, bytes], bool]:
     """Status, headers and whether the connection stays open, from a head without its empty line."""
     first, *lines = head.split(b"\r\n")
     version, _, rest = first.partition(b" ")
@@ -74,19 +74,19 @@
     return headers.get(b"transfer-encoding", b"").lower() == b"chunked"
 
 
-class ChunkReader:
+class ChunkedDecoder:
     """A chunked body, chunk by chunk; whole once the last chunk and its trailer have come."""
 
     def __init__(self) -> None:
-        self.whole = False
+        self.complete = False
         self._left = 0  # bytes of the chunk being read
         self._ends_line = False  # the line end behind a chunk is due
         self._in_trailer = False
 
-    def take(self, kept: bytearray) -> bytes:
+    def decode(self, kept: bytearray) -> bytes:
         """Cuts what is whole off the front of ``kept`` and gives the data in it."""
         data = bytearray()
-        while not self.whole and kept:
+        while not self.complete and kept:
             if self._left:
                 part = kept[: self._left]
                 del kept[: len(part)]
@@ -106,7 +106,7 @@
                     raise ProtocolError("a chunk without its end")
                 self._ends_line = False
             elif self._in_trailer:
-                self.whole = not line
+                self.complete = not line
             else:
                 size = line.partition(b";")[0].strip()
                 if not size or size.strip(b"0123456789abcdefABCDEF") or len(size) > 8:
@@ -116,23 +116,23 @@
         return bytes(data)
 
 
-class AnswerReader:
+class ResponseParser:
     """Answers on one connection, one at a time.
 
     A whole answer counts whatever comes behind it, but its connection is then of no further use. A good
     answer tells its size: one that only the end of the connection ends may have been cut off.
     """
 
-    def __init__(self, most_body: int = MOST_BODY) -> None:
-        self._most_body = most_body
+    def __init__(self, max_body_bytes: int = MAX_BODY_BYTES) -> None:
+        self._max_body_bytes = max_body_bytes
         self._kept = bytearray()
         self._head: tuple[int, dict[bytes, bytes], bool] | None = None
         self._size: int | None = None
-        self._chunks: ChunkReader | None = None
+        self._chunks: ChunkedDecoder | None = None
         self._body = bytearray()
         self._interim = 0
 
-    def feed(self, data: bytes) -> Answer | None:
+    def feed(self, data: bytes) -> HttpResponse | None:
         """The answer once it is whole."""
         if self._head is None and not self._kept:
             answer = self._whole(data)
@@ -141,13 +141,13 @@
         self._kept += data
         while self._head is None:
             end = self._kept.find(b"\r\n\r\n")
-            if end > MOST_HEAD or (end < 0 and len(self._kept) > MOST_HEAD):
+            if end > MAX_HEAD_BYTES or (end < 0 and len(self._kept) > MAX_HEAD_BYTES):
                 raise ProtocolError("a head that is too long")
             if not START.startswith(bytes(self._kept[: len(START)])):
                 raise ProtocolError("not an HTTP answer")  # at once: noise may never have the end of a head
             if end < 0:
                 return None
-            head = parse_head(bytes(self._kept[:end]))
+            head = parse_response_head(bytes(self._kept[:end]))
             del self._kept[: end + 4]
             if head[0] < 200:
                 self._interim += 1
@@ -155,14 +155,14 @@
                     raise ProtocolError("interim answers without end")
                 continue  # the real one follows
             self._head = head
-            self._chunks = ChunkReader() if is_chunked(head[1]) else None
+            self._chunks = ChunkedDecoder() if is_chunked(head[1]) else None
             self._size = None if self._chunks else body_size(head[0], head[1])
             if self._size is None and self._chunks is None and head[0] == 200:
                 raise ProtocolError("a body of no told size")
-            if self._size is not None and self._size > self._most_body:
+            if self._size is not None and self._size > self._max_body_bytes:
                 raise ProtocolError("a body that is too long")
         if self._chunks is not None:
-            self._body += self._chunks.take(self._kept)
+            self._body += self._chunks.decode(self._kept)
         elif self._size is not None:
             part = self._kept[: self._size - len(self._body)]
             self._body += part
@@ -170,35 +170,35 @@
         else:
             self._body += self._kept
             self._kept.clear()
-        if len(self._body) > self._most_body:
+        if len(self._body) > self._max_body_bytes:
             raise ProtocolError("a body that is too long")
-        whole = self._chunks.whole if self._chunks else self._size == len(self._body)
+        whole = self._chunks.complete if self._chunks else self._size == len(self._body)
         return self._finish() if whole else None
 
-    def _whole(self, data: bytes) -> Answer | None:
+    def _whole(self, data: bytes) -> HttpResponse | None:
         """The usual case at one go: one answer of a told size, come all at once."""
         end = data.find(b"\r\n\r\n")
-        if not 0 < end <= MOST_HEAD:
+        if not 0 < end <= MAX_HEAD_BYTES:
             return None
-        status, headers, keeps_open = parse_head(data[:end])
+        status, headers, keep_alive = parse_response_head(data[:end])
         size = body_size(status, headers)
         if status < 200 or size is None or is_chunked(headers) or len(data) != end + 4 + size:
             return None
-        if size > self._most_body:
+        if size > self._max_body_bytes:
             raise ProtocolError("a body that is too long")
-        return Answer(status, headers, data[end + 4 :], keeps_open)
+        return HttpResponse(status, headers, data[end + 4 :], keep_alive)
 
-    def end(self) -> Answer | None:
+    def connection_closed(self) -> HttpResponse | None:
         """The connection has ended: the answer whose end only that could tell, if there is one."""
         if self._head is None or self._chunks is not None or self._size is not None:
             return None
         return self._finish()
 
-    def _finish(self) -> Answer:
+    def _finish(self) -> HttpResponse:
         assert self._head is not None
-        status, headers, keeps_open = self._head
+        status, headers, keep_alive = self._head
         told = self._size is not None or self._chunks is not None
-        answer = Answer(status, headers, bytes(self._body), keeps_open and told and not self._kept)
+        answer = HttpResponse(status, headers, bytes(self._body), keep_alive and told and not self._kept)
         self._head, self._size, self._chunks, self._interim = None, None, None, 0
         self._body = bytearray()
         return answer
--- a/micahold/protocol/load_report.py
+++ b/micahold/protocol/load_report.py
@@ -15,7 +15,7 @@
 }
 
 
-def parse_load(value: bytes | None, columns: tuple[str, ...]) -> dict[str, float]:
+def parse_load_report(value: bytes | None, columns: tuple[str, ...]) -> dict[str, float]:
     """Figures by the settings' names; what is unknown, not asked for or no number is left out."""
     figures: dict[str, float] = {}
     for part in (value or b"").decode("latin-1").split(";"):
--- a/micahold/protocol/mysql_handshake.py
+++ b/micahold/protocol/mysql_handshake.py
@@ -9,12 +9,25 @@
 SERVER_VERSION = b"5.7.0-micahold"
 AUTH_PLUGIN = b"mysql_native_password"
 SCRAMBLE_BYTES = 20
-UTF8 = 33
-AUTOCOMMIT = 2
-
-LONG_PASSWORD, CONNECT_WITH_DB, PROTOCOL_41, SSL = 0x1, 0x8, 0x200, 0x800
-TRANSACTIONS, SECURE_CONNECTION, PLUGIN_AUTH, AUTH_LENENC = 0x2000, 0x8000, 0x80000, 0x200000
-CAPABILITIES = LONG_PASSWORD | CONNECT_WITH_DB | PROTOCOL_41 | TRANSACTIONS | SECURE_CONNECTION | PLUGIN_AUTH
+UTF8_GENERAL_CI = 33
+SERVER_STATUS_AUTOCOMMIT = 2
+
+CLIENT_LONG_PASSWORD = 0x1
+CLIENT_CONNECT_WITH_DB = 0x8
+CLIENT_PROTOCOL_41 = 0x200
+CLIENT_SSL = 0x800
+CLIENT_TRANSACTIONS = 0x2000
+CLIENT_SECURE_CONNECTION = 0x8000
+CLIENT_PLUGIN_AUTH = 0x80000
+CLIENT_PLUGIN_AUTH_LENENC_CLIENT_DATA = 0x200000
+CAPABILITIES = (
+    CLIENT_LONG_PASSWORD
+    | CLIENT_CONNECT_WITH_DB
+    | CLIENT_PROTOCOL_41
+    | CLIENT_TRANSACTIONS
+    | CLIENT_SECURE_CONNECTION
+    | CLIENT_PLUGIN_AUTH
+)
 
 SQL_STATES = {
     1040: b"08004", 1043: b"08S01", 1045: b"28000", 1047: b"08S01", 1049: b"42000",
@@ -25,7 +38,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Login:
+class HandshakeResponse:
     """What a client says of itself."""
 
     user: bytes
@@ -33,7 +46,7 @@
     database: bytes
 
 
-def greeting(connection_id: int, scramble: bytes) -> bytes:
+def handshake_payload(connection_id: int, scramble: bytes) -> bytes:
     """The server's first packet."""
     return b"".join(
         (
@@ -41,7 +54,7 @@
             (connection_id & 0xFFFFFFFF).to_bytes(4, "little"),
             scramble[:8] + b"\0",
             (CAPABILITIES & 0xFFFF).to_bytes(2, "little"),
-            bytes((UTF8,)) + AUTOCOMMIT.to_bytes(2, "little"),
+            bytes((UTF8_GENERAL_CI,)) + SERVER_STATUS_AUTOCOMMIT.to_bytes(2, "little"),
             (CAPABILITIES >> 16).to_bytes(2, "little"),
             bytes((SCRAMBLE_BYTES + 1,)) + bytes(10),
             scramble[8:SCRAMBLE_BYTES] + b"\0",
@@ -57,17 +70,17 @@
     return payload[start:end], end + 1
 
 
-def parse_login(payload: bytes) -> Login:
+def parse_handshake_response(payload: bytes) -> HandshakeResponse:
     """The client's answer to the greeting."""
     if len(payload) < 32:
         raise ProtocolError("login cut short")
     flags = int.from_bytes(payload[:4], "little")
-    if not flags & PROTOCOL_41:
+    if not flags & CLIENT_PROTOCOL_41:
         raise ProtocolError("not the 4.1 protocol")
-    if flags & SSL:
+    if flags & CLIENT_SSL:
         raise ProtocolError("encryption is not offered")
     user, at = _until_zero(payload, 32)
-    if flags & (SECURE_CONNECTION | AUTH_LENENC):
+    if flags & (CLIENT_SECURE_CONNECTION | CLIENT_PLUGIN_AUTH_LENENC_CLIENT_DATA):
         end = at + 1 + payload[at] if at < len(payload) else at + 1
         if end > len(payload):
             raise ProtocolError("login cut short")
@@ -75,19 +88,19 @@
     else:
         password, at = _until_zero(payload, at)
     database = b""
-    if flags & CONNECT_WITH_DB and at < len(payload):
+    if flags & CLIENT_CONNECT_WITH_DB and at < len(payload):
         end = payload.find(b"\0", at)
         database = payload[at : len(payload) if end < 0 else end]
-    return Login(user, password, database)
+    return HandshakeResponse(user, password, database)
 
 
 def ok_payload() -> bytes:
     """OK: no rows touched, no warnings."""
-    return b"\0\0\0" + AUTOCOMMIT.to_bytes(2, "little") + b"\0\0"
+    return b"\0\0\0" + SERVER_STATUS_AUTOCOMMIT.to_bytes(2, "little") + b"\0\0"
 
 
 def eof_payload() -> bytes:
-    return b"\xfe\0\0" + AUTOCOMMIT.to_bytes(2, "little")
+    return b"\xfe\0\0" + SERVER_STATUS_AUTOCOMMIT.to_bytes(2, "little")
 
 
 def error_payload(code: int, text: str) -> bytes:
--- a/micahold/protocol/query_fields.py
+++ b/micahold/protocol/query_fields.py
@@ -7,7 +7,7 @@
 from math import inf
 
 from micahold.protocol.errors import ProtocolError
-from micahold.protocol.table_group import has_second_statement, table_group
+from micahold.protocol.table_group import find_table_group, has_multiple_statements
 
 ID = re.compile(rb"[0-9a-f]{16}")
 WORD = re.compile(rb"[!-~]{1,200}")
@@ -23,17 +23,17 @@
 
     id: bytes
     class_name: bytes
-    wait: float  # seconds
+    wait_s: float
     tenant: bytes | None
     token: bytes | None
-    cost: float | None  # seconds
-    memory_mb: float | None
+    estimated_cost_s: float | None
+    estimated_memory_mb: float | None
     statement: bytes
-    tables: int
+    table_group: int
     is_write: bool
 
 
-def kill_target(text: bytes) -> int | None:
+def parse_kill_query(text: bytes) -> int | None:
     """The connection id that a KILL QUERY names."""
     found = KILL.fullmatch(text)
     return int(found[1]) if found else None
@@ -84,18 +84,18 @@
         raise ProtocolError("field class or wait is missing")
     if not statement.strip():
         raise ProtocolError("no statement")
-    if has_second_statement(statement):
+    if has_multiple_statements(statement):
         raise ProtocolError("more than one statement")  # not offered in the greeting
     cost = _number(fields, b"cost", MOST_COST_MS)
     return ClientQuery(
         id=number,
         class_name=class_name,
-        wait=wait / 1000,
+        wait_s=wait / 1000,
         tenant=_word(fields, b"tenant"),
         token=_word(fields, b"once"),
-        cost=None if cost is None else cost / 1000,
-        memory_mb=_number(fields, b"mb", MOST_MB),
+        estimated_cost_s=None if cost is None else cost / 1000,
+        estimated_memory_mb=_number(fields, b"mb", MOST_MB),
         statement=statement,
-        tables=table_group(statement),
+        table_group=find_table_group(statement),
         is_write=statement.lstrip()[:8].upper().startswith(WRITES),
     )
--- a/micahold/protocol/table_group.py
+++ b/micahold/protocol/table_group.py
@@ -36,15 +36,15 @@
     return int(found[1]) if found and name.lower() != UNCOUNTED else None
 
 
-def table_group(statement: bytes) -> int:
+def find_table_group(statement: bytes) -> int:
     """The group of the first table named where tables stand; ``NO_GROUP`` where none is."""
     usual = USUAL.match(statement)
     group = _schema_group(usual[1]) if usual else None
-    return read_table_group(statement) if group is None else group
+    return scan_table_group(statement) if group is None else group
 
 
-def read_table_group(statement: bytes) -> int:
-    """As ``table_group``, token by token.
+def scan_table_group(statement: bytes) -> int:
+    """As ``find_table_group``, token by token.
 
     Only names behind FROM, JOIN, INTO, TABLE or a leading UPDATE or INSERT count: ``t_3.day`` in a list
     of columns is an alias, and FROM inside EXTRACT(...) or TRIM(...) names a column.
@@ -98,7 +98,7 @@
     return NO_GROUP
 
 
-def has_second_statement(statement: bytes) -> bool:
+def has_multiple_statements(statement: bytes) -> bool:
     """Whether anything but blanks, comments and further semicolons follows a semicolon."""
     if b";" not in statement:
         return False
--- a/micahold/routing/exchange.py
+++ b/micahold/routing/exchange.py
@@ -15,8 +15,8 @@
 from micahold import interface as api
 from micahold.controller import Controller
 from micahold.counters import Counters
-from micahold.protocol.engine_list import ListNews
-from micahold.protocol.load_report import parse_load
+from micahold.protocol.engine_list import EngineListEvent
+from micahold.protocol.load_report import parse_load_report
 from micahold.protocol.query_fields import ClientQuery
 from micahold.settings import decode_report
 from micahold.transport.attempts import Attempt, AttemptRequest, AttemptResult
@@ -102,7 +102,7 @@
     def submit(self, query: ClientQuery, reply: QueryReply, waited: float = 0.0) -> int:
         """A query of a client; ``UnusableQueryError`` where it can't be taken: nothing goes to an engine."""
         now = self.now()
-        left = query.wait - waited
+        left = query.wait_s - waited
         query_class = self.classes.get(query.class_name)
         tenant = self.tenants.get(query.tenant or b"") if self.tenants else 0
         if query_class is None:
@@ -111,7 +111,7 @@
             raise UnusableQueryError("unknown tenant")
         if query.id in self._ids:
             raise UnusableQueryError("this id is open already")
-        if query.wait > MOST_WAITS * self.settings.classes[query_class].deadline_s:
+        if query.wait_s > MOST_WAITS * self.settings.classes[query_class].deadline_s:
             raise UnusableQueryError("field wait is out of range")
         if left <= 0:
             raise UnusableQueryError("past its wait on arrival")
@@ -135,9 +135,9 @@
                 class_index=query_class,
                 tenant_index=tenant,
                 deadline=item.deadline,
-                estimated_cost_s=query.cost,
-                estimated_memory_mb=query.memory_mb,
-                table_group=query.tables,
+                estimated_cost_s=query.estimated_cost_s,
+                estimated_memory_mb=query.estimated_memory_mb,
+                table_group=query.table_group,
                 is_write=query.is_write,
             )
         )
@@ -165,7 +165,7 @@
         self._close(ticket, item, "dropped")
         self._happened(api.QueryDropped(ticket))
 
-    def list_changed(self, news: ListNews) -> None:
+    def list_changed(self, news: EngineListEvent) -> None:
         """News of the engine list: the directory first, since calls look there as they are written."""
         for engine in self.directory.update(news):
             self.pools.close_idle(engine)  # it is gone, or listens elsewhere now
@@ -187,7 +187,7 @@
         result = end.result_set
         if result is not None:
             self._answer(number, "served", lambda reply: reply.send_result(result))
-        figures = parse_load(end.load_report, self.settings.report_columns)
+        figures = parse_load_report(end.load_report, self.settings.report_columns)
         self._happened(
             api.AttemptEnded(
                 query=number,
--- a/micahold/transport/attempts.py
+++ b/micahold/transport/attempts.py
@@ -16,8 +16,8 @@
 from micahold.counters import Counters
 from micahold.interface import Outcome
 from micahold.protocol.errors import ProtocolError
-from micahold.protocol.http_messages import Answer, encode_request
-from micahold.protocol.mysql_results import ResultRows
+from micahold.protocol.http_messages import HttpResponse, encode_request
+from micahold.protocol.mysql_results import ResultSetEncoder
 from micahold.transport.calls import (
     REUSE_DELAY_S,
     Call,
@@ -99,9 +99,9 @@
         self._post_call: Call | None = None
         self._abort_outcome: Outcome | None = None
         self._path = b"/data/" + request.query_id
-        self._first_page_response: Answer | None = None
+        self._first_page_response: HttpResponse | None = None
         self._page_count = 0
-        self._rows = ResultRows()
+        self._rows = ResultSetEncoder()
         self._pages_read = 0
         self._request_suffix = b""  # ends the request line and the headers of GET and DELETE requests
         self._last_request_at = 0.0
@@ -179,7 +179,7 @@
             handle_response, self._handle_get_failure, errbackArgs=(page,)
         )
 
-    def _handle_status(self, response: Answer) -> None:
+    def _handle_status(self, response: HttpResponse) -> None:
         """Handles the response to the POST or to a status poll."""
         now = self.now()
         was_known = self._known_to_engine
@@ -211,7 +211,7 @@
         else:
             self._finish(Outcome.ERROR, response)
 
-    def _handle_page(self, response: Answer) -> None:
+    def _handle_page(self, response: HttpResponse) -> None:
         """Handles the response to the GET of a further page."""
         self._last_response_at = self.now()
         if response.status != 200:
@@ -221,7 +221,7 @@
         else:
             self._add_page(response)
 
-    def _add_page(self, response: Answer) -> None:
+    def _add_page(self, response: HttpResponse) -> None:
         """Adds a page to the result and fetches the next, or ends the attempt after the last.
 
         No part of the result is sent to the client before all pages are read, so that an engine that dies
@@ -357,7 +357,7 @@
         self._current_call = self.pools.call(self.request.engine, message, self.now(), None, new_connection)
         self._current_call.response.addCallbacks(self._handle_deleted, self._handle_delete_failure)
 
-    def _handle_deleted(self, response: Answer) -> None:
+    def _handle_deleted(self, response: HttpResponse) -> None:
         self._cancel_timer(self._lease_timer)
         self._finish_aborted()
 
@@ -404,7 +404,7 @@
         if timer is not None and timer.active():
             timer.cancel()
 
-    def _finish(self, outcome: Outcome, response: Answer | None = None) -> None:
+    def _finish(self, outcome: Outcome, response: HttpResponse | None = None) -> None:
         """Ends the attempt and fires ``done``; does nothing if it has already ended."""
         if self.ended:
             return
@@ -414,9 +414,9 @@
             self.counters.add("attempts_saved")
         load_report = response.headers.get(LOAD_HEADER) if response is not None else None
         rows = self._rows
-        self._rows = ResultRows()
+        self._rows = ResultSetEncoder()
         if self._abort_outcome is None:
             self._release_references()
         self.done.callback(
-            AttemptResult(outcome, rows.answer() if outcome is Outcome.OK else None, load_report)
+            AttemptResult(outcome, rows.finish() if outcome is Outcome.OK else None, load_report)
         )
--- a/micahold/transport/calls.py
+++ b/micahold/transport/calls.py
@@ -16,7 +16,7 @@
 
 from micahold.counters import Counters
 from micahold.protocol.errors import ProtocolError
-from micahold.protocol.http_messages import Answer, AnswerReader
+from micahold.protocol.http_messages import HttpResponse, ResponseParser
 from micahold.transport.directory import EngineDirectory
 from micahold.transport.timers import Timer, TimerQueue
 
@@ -69,12 +69,12 @@
         self.request = request
         self.due_at = due_at
         self.should_send = should_send
-        self.response: Deferred[Answer] = Deferred()
+        self.response: Deferred[HttpResponse] = Deferred()
         self.written = self.ended = False
         self.new_connection = self.self_identifying = False
         self.connection: EngineConnection | None = None
 
-    def succeed(self, response: Answer) -> None:
+    def succeed(self, response: HttpResponse) -> None:
         """Ends the call with its response, unless it has already ended."""
         if not self.ended:
             self.ended = True
@@ -112,7 +112,7 @@
         self.current_call: Call | None = None
         self.idle_since = 0.0
         self.closing = False
-        self._reader = AnswerReader()
+        self._reader = ResponseParser()
         self._response_timer: Timer | None = None
 
     def connectionMade(self) -> None:
@@ -166,11 +166,11 @@
         if response is not None:
             self._finish_call(call, response)
 
-    def _finish_call(self, call: Call, response: Answer) -> None:
+    def _finish_call(self, call: Call, response: HttpResponse) -> None:
         """Releases or aborts the connection, then delivers the response."""
         self.current_call = call.connection = None
         self._cancel_response_timer()
-        if response.keeps_open:
+        if response.keep_alive:
             self.pools.release(self)
         else:
             self.abort()
@@ -210,7 +210,7 @@
         if call is None:
             return
         call.connection = None
-        response = self._reader.end() if reason.check(twisted_error.ConnectionDone) else None
+        response = self._reader.connection_closed() if reason.check(twisted_error.ConnectionDone) else None
         if response is not None:
             call.succeed(response)
         else:
--- a/micahold/transport/channel.py
+++ b/micahold/transport/channel.py
@@ -11,8 +11,14 @@
 
 from micahold.counters import Counters
 from micahold.protocol.errors import ProtocolError
-from micahold.protocol.event_stream import EventStream, ServerEvent
-from micahold.protocol.http_messages import MOST_HEAD, ChunkReader, encode_request, is_chunked, parse_head
+from micahold.protocol.event_stream import EventStreamParser, ServerSentEvent
+from micahold.protocol.http_messages import (
+    MAX_HEAD_BYTES,
+    ChunkedDecoder,
+    encode_request,
+    is_chunked,
+    parse_response_head,
+)
 
 CHANNEL_PATH = b"/cmd/next"
 # The server sends a comment every second; the connection is dropped after two missed in a row.
@@ -33,9 +39,9 @@
     def __init__(self, channel: CommandChannel) -> None:
         self.channel = channel
         self._buffer = bytearray()
-        self._chunks: ChunkReader | None = None
+        self._chunks: ChunkedDecoder | None = None
         self._in_body = False
-        self._events = EventStream()
+        self._events = EventStreamParser()
         self._silence_timer: Any = None
         self.created_at = channel.clock.seconds()
 
@@ -59,24 +65,24 @@
         self._buffer += data
         if not self._in_body:
             end = self._buffer.find(b"\r\n\r\n")
-            if end > MOST_HEAD or (end < 0 and len(self._buffer) > MOST_HEAD):
+            if end > MAX_HEAD_BYTES or (end < 0 and len(self._buffer) > MAX_HEAD_BYTES):
                 raise ProtocolError("a head that is too long")
             if end < 0:
                 return
-            status, headers, _ = parse_head(bytes(self._buffer[:end]))
+            status, headers, _ = parse_response_head(bytes(self._buffer[:end]))
             if status != 200:
                 raise ProtocolError(f"status {status}")
             del self._buffer[: end + 4]
             self._in_body = True
-            self._chunks = ChunkReader() if is_chunked(headers) else None
+            self._chunks = ChunkedDecoder() if is_chunked(headers) else None
         if self._chunks is not None:
-            data = self._chunks.take(self._buffer)
+            data = self._chunks.decode(self._buffer)
         else:
             data = bytes(self._buffer)
             self._buffer.clear()
         for event in self._events.feed(data):
             self.channel.event_received(self, event)
-        if self._chunks is not None and self._chunks.whole:
+        if self._chunks is not None and self._chunks.complete:
             self.abort()
 
     def _handle_silence(self) -> None:
@@ -171,7 +177,7 @@
         self._connection = _EventStreamConnection(self)
         return self._connection
 
-    def event_received(self, connection: _EventStreamConnection, event: ServerEvent) -> None:
+    def event_received(self, connection: _EventStreamConnection, event: ServerSentEvent) -> None:
         """Delivers an event and advances the cursor; ignores events that are repeated, older or unnumbered.
 
         An event that can't be parsed may have been corrupted in transit: ``ProtocolError`` makes the channel
@@ -179,11 +185,11 @@
         """
         if (
             connection is not self._connection
-            or not event.id.isdigit()
-            or len(event.id) > MAX_EVENT_NUMBER_DIGITS
+            or not event.last_event_id.isdigit()
+            or len(event.last_event_id) > MAX_EVENT_NUMBER_DIGITS
         ):
             return
-        number = int(event.id)
+        number = int(event.last_event_id)
         if number <= self.cursor:
             return
         if not self.on_event(event.data) and number != self._last_unreadable:
--- a/micahold/transport/clients.py
+++ b/micahold/transport/clients.py
@@ -19,9 +19,14 @@
 
 from micahold.counters import Counters
 from micahold.protocol.errors import ProtocolError
-from micahold.protocol.mysql_handshake import error_payload, greeting, ok_payload, parse_login
+from micahold.protocol.mysql_handshake import (
+    error_payload,
+    handshake_payload,
+    ok_payload,
+    parse_handshake_response,
+)
 from micahold.protocol.mysql_packets import PacketReader, encode_packet
-from micahold.protocol.query_fields import ClientQuery, kill_target, parse_query
+from micahold.protocol.query_fields import ClientQuery, parse_kill_query, parse_query
 
 USER = b"app"
 DATABASE = b"dw"
@@ -132,7 +137,7 @@
             self._send(error_payload(ER_CON_COUNT_ERROR, "Too many connections"))
             self._close()
             return
-        self._send(greeting(self.connection_id, self.sessions.scramble(self.connection_id)))
+        self._send(handshake_payload(self.connection_id, self.sessions.scramble(self.connection_id)))
 
     def dataReceived(self, data: bytes) -> None:
         if self._closing:
@@ -159,8 +164,8 @@
         """Updates the total of buffered bytes; False if it is over its limit and this session adds to it."""
         if self._closing:
             self._reader.clear()
-        self.sessions.buffered_bytes += self._reader.kept - self._counted_bytes
-        self._counted_bytes = self._reader.kept
+        self.sessions.buffered_bytes += self._reader.buffered_bytes - self._counted_bytes
+        self._counted_bytes = self._reader.buffered_bytes
         return not self._counted_bytes or self.sessions.buffered_bytes <= self.sessions.max_buffered_bytes
 
     def _update_timeout(self) -> None:
@@ -174,7 +179,7 @@
         now = float(self.sessions.clock.seconds())
         if self.query_number is not None:
             self.timeout_at = inf
-        elif self._reader.kept and not self._paused:
+        elif self._reader.buffered_bytes and not self._paused:
             self.timeout_at = min(self.timeout_at, now + PACKET_TIMEOUT_S)
         elif self._has_sent_command:
             self.timeout_at = now + IDLE_TIMEOUT_S
@@ -187,7 +192,7 @@
         """
         if self._closing:
             self.abort()
-        elif self._has_sent_command and not self._reader.kept:
+        elif self._has_sent_command and not self._reader.buffered_bytes:
             self.sessions.counters.add("client_sessions_idle")
             self._close()
         else:
@@ -264,7 +269,7 @@
     def _process_packets(self) -> None:
         """Handles the packets received so far, until a query is open or the client must read first."""
         while self.query_number is None and not self._paused and not self._closing:
-            packet = self._reader.next()
+            packet = self._reader.next_packet()
             if packet is None:
                 return
             sequence, payload = packet
@@ -281,7 +286,7 @@
 
     def _handle_login(self, payload: bytes) -> None:
         try:
-            login = parse_login(payload)
+            login = parse_handshake_response(payload)
         except ProtocolError as error:
             self._send(error_payload(ER_HANDSHAKE_ERROR, str(error)))
             self._close()
@@ -313,7 +318,7 @@
 
     def _handle_query(self, text: bytes) -> None:
         """Executes a KILL QUERY, or submits the query to the handler."""
-        target = kill_target(text)
+        target = parse_kill_query(text)
         if target is not None:
             known = self.sessions.kill_query(target)
             self._send(
@@ -377,7 +382,7 @@
             transport: Any = self.transport
             transport.write(data)
             self._update_timeout()
-            if self._reader.kept:
+            if self._reader.buffered_bytes:
                 # Packets that arrived meanwhile are processed in a later reactor turn, after the batch of
                 # actions that this response belongs to.
                 self.sessions.clock.callLater(0, self.dataReceived, b"")
--- a/micahold/transport/directory.py
+++ b/micahold/transport/directory.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from micahold.interface import EngineState, ListKind
-from micahold.protocol.engine_list import ListNews
+from micahold.protocol.engine_list import EngineListEvent
 
 
 class EngineDirectory:
@@ -16,7 +16,7 @@
         self._addresses: dict[str, tuple[str, int]] = {}
         self._states: dict[str, EngineState] = {}
 
-    def update(self, news: ListNews) -> list[str]:
+    def update(self, news: EngineListEvent) -> list[str]:
         """Applies an event of the engine list; returns the engines that are gone or have a new address."""
         old_addresses = dict(self._addresses)
         if news.update.kind in (ListKind.FULL, ListKind.RESTORED):
--- a/tests/mysql_client.py
+++ b/tests/mysql_client.py
@@ -15,38 +15,40 @@
         super().__init__(f"{self.code} {self.text}")
 
 
-def login_payload(user: bytes, database: bytes, password: bytes = b"") -> bytes:
+def handshake_response(user: bytes, database: bytes, password: bytes = b"") -> bytes:
     head = FLAGS.to_bytes(4, "little") + (1 << 24).to_bytes(4, "little") + b"\x21" + bytes(23)
     return head + user + b"\0" + bytes((len(password),)) + password + database + b"\0"
 
 
-def login(user: bytes = b"app", database: bytes = b"dw") -> bytes:
-    return encode_packet(1, login_payload(user, database))
+def login_packet(user: bytes = b"app", database: bytes = b"dw") -> bytes:
+    return encode_packet(1, handshake_response(user, database))
 
 
-def command(code: int, argument: bytes = b"") -> bytes:
+def command_packet(code: int, argument: bytes = b"") -> bytes:
     return encode_packet(0, bytes((code,)) + argument)
 
 
-def query(text: bytes) -> bytes:
-    return command(3, text)
+def query_packet(text: bytes) -> bytes:
+    return command_packet(3, text)
 
 
-def ask(number: int = 1, wait: int = 2000, statement: bytes = b"SELECT a FROM s_3.t", **fields: str) -> bytes:
+def query_with_fields(
+    number: int = 1, wait: int = 2000, statement: bytes = b"SELECT a FROM s_3.t", **fields: str
+) -> bytes:
     """A query with its fields; ``class_`` stands for class."""
     every = {"class": "lookup", "id": f"{number:016x}", "wait": str(wait), "tenant": "one"}
     every.update({name.rstrip("_"): value for name, value in fields.items()})
     text = ",".join(f"{name}={value}" for name, value in every.items() if value)
-    return query(b"/* " + text.encode() + b" */ " + statement)
+    return query_packet(b"/* " + text.encode() + b" */ " + statement)
 
 
-def packets(data: bytes) -> list[tuple[int, bytes]]:
+def decode_packets(data: bytes) -> list[tuple[int, bytes]]:
     reader = PacketReader(1 << 24, 1 << 25)
     reader.feed(data)
     done = []
-    while (packet := reader.next()) is not None:
+    while (packet := reader.next_packet()) is not None:
         done.append(packet)
-    assert reader.kept == 0, "half a packet"
+    assert reader.buffered_bytes == 0, "half a packet"
     return done
 
 
@@ -60,9 +62,9 @@
     return payload[start : start + size], start + size
 
 
-def read_result(data: bytes) -> list[tuple[bytes, bytes, bytes]]:
+def decode_result_set(data: bytes) -> list[tuple[bytes, bytes, bytes]]:
     """The rows of one whole result; every number and every byte is looked at."""
-    got = packets(data)
+    got = decode_packets(data)
     assert [number for number, _ in got] == [number % 256 for number in range(1, len(got) + 1)]
     if got[0][1][:1] == b"\xff":
         raise ServerError(got[0][1])
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -165,7 +165,7 @@
         greeting = self._packet()
         start = greeting.index(b"\0", 5) + 1
         self.id = int.from_bytes(greeting[start : start + 4], "little")
-        self.send(mysql_client.login())
+        self.send(mysql_client.login_packet())
         assert self.read()[4] == 0
 
     def send(self, data: bytes) -> None:
@@ -199,8 +199,8 @@
     def ask(
         self, number: int, statement: bytes, wait: int = 2000, **fields: str
     ) -> list[tuple[bytes, bytes, bytes]]:
-        self.send(mysql_client.ask(number, wait, statement, **fields))
-        return mysql_client.read_result(self.read())
+        self.send(mysql_client.query_with_fields(number, wait, statement, **fields))
+        return mysql_client.decode_result_set(self.read())
 
     def close(self) -> None:
         self.socket.close()
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -15,8 +15,8 @@
     QUERY_LEASE_S,
 )
 from micahold.transport.calls import LATE_READ_GRACE_S, RESPONSE_TIMEOUT_S, REUSE_DELAY_S
-from tests.mysql_client import read_result
-from tests.network import PAGE, EngineSide, Link, answer, news
+from tests.mysql_client import decode_result_set
+from tests.network import PAGE, EngineHarness, ServerEnd, engine_list_event, http_response
 
 DELETE = b"DELETE /data/9b1f03aa5c7e2d41 HTTP/1.1\r\nHost: 127.0.0.1:4097\r\n\r\n"
 
@@ -26,17 +26,17 @@
     return b"GET /data/9b1f03aa5c7e2d41/%d HTTP/1.1\r\nHost: 127.0.0.1:4097\r\n\r\n" % page
 
 
-def first_link(network: EngineSide) -> Link:
+def first_connection(network: EngineHarness) -> ServerEnd:
     """Establishes the first connection, on which the POST is sent, and discards the POST."""
-    link = network.links[0].up()
-    link.transport.clear()
-    return link
+    connection = network.connections[0].accept()
+    connection.transport.clear()
+    return connection
 
 
 def test_post_carries_id_class_wait_token_and_the_unchanged_statement() -> None:
-    network = EngineSide()
-    network.start(token=b"5c0f")
-    sent = network.links[0].up().transport.sent()
+    network = EngineHarness()
+    network.start_attempt(token=b"5c0f")
+    sent = network.connections[0].accept().transport.take_written()
     assert sent.startswith(b"POST /data HTTP/1.1\r\n")
     for line in (b"Via-Id: 9b1f03aa5c7e2d41", b"Via-Class: report", b"Via-Wait: 5000", b"Via-Token: 5c0f"):
         assert line + b"\r\n" in sent
@@ -44,57 +44,57 @@
 
 
 def test_result_is_delivered_only_after_all_pages_are_read() -> None:
-    network = EngineSide()
-    _, results = network.start()
-    link = first_link(network)
-    link.say(answer(200, PAGE, X_Sheets="3", Srv_Load="inflight:7;util:0.5"))
-    assert link.transport.sent() == get(1)
-    link.say(answer(200, PAGE * 2, X_Sheet="1"))
+    network = EngineHarness()
+    _, results = network.start_attempt()
+    connection = first_connection(network)
+    connection.send(http_response(200, PAGE, X_Sheets="3", Srv_Load="inflight:7;util:0.5"))
+    assert connection.transport.take_written() == get(1)
+    connection.send(http_response(200, PAGE * 2, X_Sheet="1"))
     assert not results
-    assert link.transport.sent() == get(2)
-    link.say(answer(200, b"", X_Sheet="2"))
+    assert connection.transport.take_written() == get(2)
+    connection.send(http_response(200, b"", X_Sheet="2"))
     (result,) = results
     assert result.outcome is Outcome.OK
     assert result.result_set is not None
-    assert read_result(result.result_set) == [(b"a", b"1", b"x")] * 3
+    assert decode_result_set(result.result_set) == [(b"a", b"1", b"x")] * 3
     assert result.load_report == b"inflight:7;util:0.5"
-    network.turn(10.0)
+    network.advance(10.0)
     assert len(results) == 1
 
 
 @pytest.mark.parametrize("pages", ["0", "1"])
 def test_empty_result_ends_as_ok(pages: str) -> None:
-    network = EngineSide()
-    _, results = network.start()
-    first_link(network).say(answer(200, b"", X_Sheets=pages))
+    network = EngineHarness()
+    _, results = network.start_attempt()
+    first_connection(network).send(http_response(200, b"", X_Sheets=pages))
     assert [result.outcome for result in results] == [Outcome.OK]
 
 
 @pytest.mark.parametrize(
     ("response", "outcome"),
     [
-        (answer(503, Srv_Untouched="1"), Outcome.FULL),
-        (answer(503), Outcome.ERROR),
-        (answer(500), Outcome.ERROR),
-        (answer(404), Outcome.ERROR),
-        (answer(504, Srv_Untouched="1"), Outcome.NOT_STARTED),
-        (answer(504), Outcome.TIMEOUT),
+        (http_response(503, Srv_Untouched="1"), Outcome.FULL),
+        (http_response(503), Outcome.ERROR),
+        (http_response(500), Outcome.ERROR),
+        (http_response(404), Outcome.ERROR),
+        (http_response(504, Srv_Untouched="1"), Outcome.NOT_STARTED),
+        (http_response(504), Outcome.TIMEOUT),
     ],
 )
 def test_response_status_determines_the_outcome(response: bytes, outcome: Outcome) -> None:
-    network = EngineSide()
-    _, results = network.start()
-    first_link(network).say(response)
+    network = EngineHarness()
+    _, results = network.start_attempt()
+    first_connection(network).send(response)
     assert [result.outcome for result in results] == [outcome]
     assert results[0].result_set is None
 
 
 UNREADABLE_RESPONSES = [
-    answer(200, PAGE),
-    answer(200, PAGE, X_Sheets="many"),
-    answer(200, PAGE, X_Sheets=str(MAX_PAGES + 1)),
-    answer(200, b"a\tb\n", X_Sheets="1"),
-    answer(200, b"a\tb\tc", X_Sheets="1"),
+    http_response(200, PAGE),
+    http_response(200, PAGE, X_Sheets="many"),
+    http_response(200, PAGE, X_Sheets=str(MAX_PAGES + 1)),
+    http_response(200, b"a\tb\n", X_Sheets="1"),
+    http_response(200, b"a\tb\tc", X_Sheets="1"),
     b"HTTP/1.1 200 OK\r\n\r\n" + PAGE,
     b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\nX-Sheets: 1\r\n\r\n" + PAGE,
     b"\x00\xff noise",
@@ -103,271 +103,273 @@
 
 @pytest.mark.parametrize("response", UNREADABLE_RESPONSES)
 def test_unreadable_response_is_requested_again_with_get_and_never_with_post(response: bytes) -> None:
-    network = EngineSide()
-    _, results = network.start()
-    first_link(network).say(response)
-    network.turn()
+    network = EngineHarness()
+    _, results = network.start_attempt()
+    first_connection(network).send(response)
+    network.advance()
     assert not results
-    retry = network.links[1].up()
-    assert retry.transport.sent() == get(0)
-    retry.say(answer(200, PAGE, X_Sheets="1"))
+    retry = network.connections[1].accept()
+    assert retry.transport.take_written() == get(0)
+    retry.send(http_response(200, PAGE, X_Sheets="1"))
     assert [result.outcome for result in results] == [Outcome.OK]
-    assert results[0].result_set is not None and read_result(results[0].result_set) == [(b"a", b"1", b"x")]
+    assert results[0].result_set is not None and decode_result_set(results[0].result_set) == [
+        (b"a", b"1", b"x")
+    ]
     assert network.counters.values["attempts_saved"] == 1
 
 
 def test_repeatedly_unreadable_responses_end_as_error_after_the_query_is_deleted() -> None:
-    network = EngineSide()
-    _, results = network.start(wait=30.0)
-    first_link(network).say(b"noise")
+    network = EngineHarness()
+    _, results = network.start_attempt(wait=30.0)
+    first_connection(network).send(b"noise")
     for index in range(1, MAX_UNREADABLE_RESPONSES + 1):
-        network.turn(MIN_POLL_INTERVAL_S)
-        retry = network.links[index].up()
-        assert retry.transport.sent() == get(0)
-        retry.say(b"noise")
+        network.advance(MIN_POLL_INTERVAL_S)
+        retry = network.connections[index].accept()
+        assert retry.transport.take_written() == get(0)
+        retry.send(b"noise")
     assert not results
-    delete_link = network.links[MAX_UNREADABLE_RESPONSES + 1].up()
-    assert delete_link.transport.sent() == DELETE
-    delete_link.say(answer(204))
+    delete_connection = network.connections[MAX_UNREADABLE_RESPONSES + 1].accept()
+    assert delete_connection.transport.take_written() == DELETE
+    delete_connection.send(http_response(204))
     assert [result.outcome for result in results] == [Outcome.ERROR]
-    network.turn(10.0)
-    assert len(network.links) == MAX_UNREADABLE_RESPONSES + 2
+    network.advance(10.0)
+    assert len(network.connections) == MAX_UNREADABLE_RESPONSES + 2
 
 
 def test_unanswered_post_is_followed_by_a_status_poll() -> None:
-    network = EngineSide()
-    _, results = network.start()
-    link = first_link(network)
-    network.turn(RESPONSE_TIMEOUT_S)
-    network.turn(LATE_READ_GRACE_S)
-    assert link.transport.aborted
-    network.turn()
-    network.links[1].up().say(answer(200, PAGE, X_Sheets="1"))
+    network = EngineHarness()
+    _, results = network.start_attempt()
+    connection = first_connection(network)
+    network.advance(RESPONSE_TIMEOUT_S)
+    network.advance(LATE_READ_GRACE_S)
+    assert connection.transport.aborted
+    network.advance()
+    network.connections[1].accept().send(http_response(200, PAGE, X_Sheets="1"))
     assert [result.outcome for result in results] == [Outcome.OK]
 
 
 def test_query_unknown_to_the_engine_after_a_broken_post_is_deleted_before_the_attempt_ends() -> None:
     """The POST may still reach the engine, and another attempt would then run the query a second time."""
-    network = EngineSide()
-    _, results = network.start()
-    first_link(network).lose()
-    network.turn()
-    link = network.links[1].up()
-    link.say(answer(500))
+    network = EngineHarness()
+    _, results = network.start_attempt()
+    first_connection(network).disconnect()
+    network.advance()
+    connection = network.connections[1].accept()
+    connection.send(http_response(500))
     assert not results
-    network.turn(REUSE_DELAY_S)
-    delete_link = network.links[2].up()
-    assert delete_link.transport.sent() == DELETE
-    delete_link.say(answer(204))
+    network.advance(REUSE_DELAY_S)
+    delete_connection = network.connections[2].accept()
+    assert delete_connection.transport.take_written() == DELETE
+    delete_connection.send(http_response(204))
     # CANCELLED does not count against the engine.
     assert [result.outcome for result in results] == [Outcome.CANCELLED]
 
 
 def test_status_is_polled_repeatedly_but_not_in_a_busy_loop() -> None:
-    network = EngineSide()
-    _, results = network.start()
-    link = first_link(network)
+    network = EngineHarness()
+    _, results = network.start_attempt()
+    connection = first_connection(network)
     for _ in range(5):
-        link.say(answer(202))
-        assert link.transport.sent() == b""
-        network.turn(MIN_POLL_INTERVAL_S)
-        assert link.transport.sent() == get(0)
-    network.turn(0.25)
-    link.say(answer(202))
+        connection.send(http_response(202))
+        assert connection.transport.take_written() == b""
+        network.advance(MIN_POLL_INTERVAL_S)
+        assert connection.transport.take_written() == get(0)
+    network.advance(0.25)
+    connection.send(http_response(202))
     # After a long poll, the next request only waits until the connection may be reused.
-    assert link.transport.sent() == b""
-    network.turn(2 * REUSE_DELAY_S)
-    assert link.transport.sent() == get(0)
-    assert len(network.links) == 1
-    link.say(answer(200, PAGE, X_Sheets="1"))
+    assert connection.transport.take_written() == b""
+    network.advance(2 * REUSE_DELAY_S)
+    assert connection.transport.take_written() == get(0)
+    assert len(network.connections) == 1
+    connection.send(http_response(200, PAGE, X_Sheets="1"))
     assert [result.outcome for result in results] == [Outcome.OK]
 
 
 def test_error_status_for_a_page_ends_as_error() -> None:
-    network = EngineSide()
-    _, results = network.start()
-    link = first_link(network)
-    link.say(answer(200, PAGE, X_Sheets="2"))
-    link.say(answer(500))
+    network = EngineHarness()
+    _, results = network.start_attempt()
+    connection = first_connection(network)
+    connection.send(http_response(200, PAGE, X_Sheets="2"))
+    connection.send(http_response(500))
     assert [result.outcome for result in results] == [Outcome.ERROR]
 
 
 def test_page_with_a_wrong_or_no_number_is_requested_again() -> None:
-    network = EngineSide()
-    _, results = network.start()
-    link = first_link(network)
-    link.say(answer(200, PAGE, X_Sheets="3"))
-    link.say(answer(200, PAGE, X_Sheet="2"))
-    network.turn()
-    retry = network.links[1].up()
-    assert retry.transport.sent() == get(1)
-    retry.say(answer(200, PAGE))  # a page without a number
-    network.turn(MIN_POLL_INTERVAL_S)
-    assert network.links[2].up().transport.sent() == get(1)
+    network = EngineHarness()
+    _, results = network.start_attempt()
+    connection = first_connection(network)
+    connection.send(http_response(200, PAGE, X_Sheets="3"))
+    connection.send(http_response(200, PAGE, X_Sheet="2"))
+    network.advance()
+    retry = network.connections[1].accept()
+    assert retry.transport.take_written() == get(1)
+    retry.send(http_response(200, PAGE))  # a page without a number
+    network.advance(MIN_POLL_INTERVAL_S)
+    assert network.connections[2].accept().transport.take_written() == get(1)
     assert not results
 
 
 @pytest.mark.parametrize("failure", ["refuse", "time_out"])
 def test_failed_connect_ends_as_connect_failed(failure: str) -> None:
-    network = EngineSide()
-    _, results = network.start()
-    getattr(network.links[0], failure)()
+    network = EngineHarness()
+    _, results = network.start_attempt()
+    getattr(network.connections[0], failure)()
     assert [result.outcome for result in results] == [Outcome.CONNECT_FAILED]
 
 
 def test_post_with_a_broken_connection_is_not_repeated_but_followed_by_a_status_poll() -> None:
     """The engine may have received the complete POST, and a second one would run the query twice."""
-    network = EngineSide()
-    _, results = network.start()
-    first_link(network).lose()
-    network.turn()
+    network = EngineHarness()
+    _, results = network.start_attempt()
+    first_connection(network).disconnect()
+    network.advance()
     assert not results
-    link = network.links[1].up()
-    assert link.transport.sent() == get(0)
-    link.say(answer(200, PAGE, X_Sheets="1"))
+    connection = network.connections[1].accept()
+    assert connection.transport.take_written() == get(0)
+    connection.send(http_response(200, PAGE, X_Sheets="1"))
     assert [result.outcome for result in results] == [Outcome.OK]
 
 
 def test_post_to_a_dead_engine_ends_as_reset_at_once() -> None:
-    network = EngineSide()
-    _, results = network.start()
-    first_link(network).lose()
-    network.turn()
-    network.links[1].refuse()
+    network = EngineHarness()
+    _, results = network.start_attempt()
+    first_connection(network).disconnect()
+    network.advance()
+    network.connections[1].refuse()
     assert [result.outcome for result in results] == [Outcome.RESET]
 
 
 def test_get_with_a_broken_connection_is_repeated_on_a_new_one() -> None:
-    network = EngineSide()
-    _, results = network.start()
-    link = first_link(network)
-    link.say(answer(200, PAGE, X_Sheets="2"))
-    link.lose()
-    network.turn()
-    retry = network.links[1].up()
-    assert retry.transport.sent() == get(1)
-    retry.say(answer(200, PAGE, X_Sheet="1"))
+    network = EngineHarness()
+    _, results = network.start_attempt()
+    connection = first_connection(network)
+    connection.send(http_response(200, PAGE, X_Sheets="2"))
+    connection.disconnect()
+    network.advance()
+    retry = network.connections[1].accept()
+    assert retry.transport.take_written() == get(1)
+    retry.send(http_response(200, PAGE, X_Sheet="1"))
     assert [result.outcome for result in results] == [Outcome.OK]
 
 
 def test_engine_death_between_pages_ends_as_reset_without_a_result() -> None:
-    network = EngineSide()
-    _, results = network.start()
-    link = first_link(network)
-    link.say(answer(200, PAGE, X_Sheets="2"))
-    link.lose()
-    network.turn()
-    network.links[1].refuse()
+    network = EngineHarness()
+    _, results = network.start_attempt()
+    connection = first_connection(network)
+    connection.send(http_response(200, PAGE, X_Sheets="2"))
+    connection.disconnect()
+    network.advance()
+    network.connections[1].refuse()
     assert [(result.outcome, result.result_set) for result in results] == [(Outcome.RESET, None)]
 
 
 def test_get_is_not_repeated_after_the_lease_of_the_query_has_lapsed() -> None:
-    network = EngineSide()
-    _, results = network.start(wait=30.0)
-    link = first_link(network)
-    link.say(answer(202))
-    network.turn(MIN_POLL_INTERVAL_S)
-    link.lose()
+    network = EngineHarness()
+    _, results = network.start_attempt(wait=30.0)
+    connection = first_connection(network)
+    connection.send(http_response(202))
+    network.advance(MIN_POLL_INTERVAL_S)
+    connection.disconnect()
     for _ in range(20):
-        network.turn(MIN_POLL_INTERVAL_S)
-        for pending in network.links[1:]:
+        network.advance(MIN_POLL_INTERVAL_S)
+        for pending in network.connections[1:]:
             if pending.protocol is None and not results:
-                network.turn(0.25)
+                network.advance(0.25)
                 pending.protocol = object()
                 pending.time_out()
     assert [result.outcome for result in results] == [Outcome.RESET]
 
 
 def test_expired_attempt_ends_as_timeout_sends_delete_and_ignores_later_responses() -> None:
-    network = EngineSide()
-    _, results = network.start(wait=1.0)
-    link = first_link(network)
-    network.turn(1.0)
+    network = EngineHarness()
+    _, results = network.start_attempt(wait=1.0)
+    connection = first_connection(network)
+    network.advance(1.0)
     assert [result.outcome for result in results] == [Outcome.TIMEOUT]
-    assert network.links[1].up().transport.sent() == DELETE
-    link.say(answer(200, PAGE, X_Sheets="1"))
-    network.links[1].say(answer(204))
-    network.turn(10.0)
+    assert network.connections[1].accept().transport.take_written() == DELETE
+    connection.send(http_response(200, PAGE, X_Sheets="1"))
+    network.connections[1].send(http_response(204))
+    network.advance(10.0)
     assert len(results) == 1
 
 
 def test_attempt_not_sent_before_its_expiry_ends_as_not_started() -> None:
-    network = EngineSide(most=1)
-    network.start(wait=9.0)
-    _, results = network.start(wait=1.0)
-    network.turn(1.0)
+    network = EngineHarness(max_connections=1)
+    network.start_attempt(wait=9.0)
+    _, results = network.start_attempt(wait=1.0)
+    network.advance(1.0)
     assert [result.outcome for result in results] == [Outcome.NOT_STARTED]
 
 
 def test_cancelled_attempt_ends_when_its_delete_is_answered() -> None:
     """If the attempt ended earlier, the next one could start while this one still runs."""
-    network = EngineSide()
-    attempt, results = network.start()
-    link = first_link(network)
+    network = EngineHarness()
+    attempt, results = network.start_attempt()
+    connection = first_connection(network)
     attempt.abort(Outcome.CANCELLED)
     attempt.abort(Outcome.CANCELLED)
     assert not results
-    delete_link = network.links[1].up()
-    assert delete_link.transport.sent() == DELETE
-    link.say(answer(200, PAGE, X_Sheets="2"))
-    assert link.transport.sent() == b""
-    delete_link.say(answer(204))
+    delete_connection = network.connections[1].accept()
+    assert delete_connection.transport.take_written() == DELETE
+    connection.send(http_response(200, PAGE, X_Sheets="2"))
+    assert connection.transport.take_written() == b""
+    delete_connection.send(http_response(204))
     assert [result.outcome for result in results] == [Outcome.CANCELLED]
 
 
 def test_cancelled_attempt_on_a_silent_engine_ends_when_the_lease_has_lapsed() -> None:
-    network = EngineSide()
-    attempt, results = network.start(wait=60.0)
-    link = first_link(network)
-    network.turn(1.0)
+    network = EngineHarness()
+    attempt, results = network.start_attempt(wait=60.0)
+    connection = first_connection(network)
+    network.advance(1.0)
     attempt.abort(Outcome.CANCELLED)
-    network.links[1].up()
-    network.turn(QUERY_LEASE_S - 1.1)
+    network.connections[1].accept()
+    network.advance(QUERY_LEASE_S - 1.1)
     assert not results
-    network.turn(0.3)
+    network.advance(0.3)
     assert [result.outcome for result in results] == [Outcome.CANCELLED]
-    assert link.transport.aborted  # undelivered data must not start the query later
+    assert connection.transport.aborted  # undelivered data must not start the query later
 
 
 def test_attempt_cancelled_before_its_first_byte_is_never_sent() -> None:
-    network = EngineSide()
-    attempt, results = network.start()
+    network = EngineHarness()
+    attempt, results = network.start_attempt()
     attempt.abort(Outcome.CANCELLED)
     assert [result.outcome for result in results] == [Outcome.CANCELLED]
-    assert network.links[0].up().transport.sent() == b""
+    assert network.connections[0].accept().transport.take_written() == b""
 
 
 def test_delete_with_a_broken_connection_is_repeated() -> None:
-    network = EngineSide()
-    attempt, results = network.start()
-    first_link(network)
+    network = EngineHarness()
+    attempt, results = network.start_attempt()
+    first_connection(network)
     attempt.abort(Outcome.CANCELLED)
-    network.links[1].up().lose()
-    network.turn(MIN_POLL_INTERVAL_S)
-    retry = network.links[2].up()
-    assert retry.transport.sent() == DELETE
-    retry.say(answer(204))
+    network.connections[1].accept().disconnect()
+    network.advance(MIN_POLL_INTERVAL_S)
+    retry = network.connections[2].accept()
+    assert retry.transport.take_written() == DELETE
+    retry.send(http_response(204))
     assert [result.outcome for result in results] == [Outcome.CANCELLED]
 
 
 def test_engine_that_starts_to_drain_during_the_connect_is_sent_nothing() -> None:
-    network = EngineSide()
-    _, results = network.start()
-    network.directory.update(news(2, full=False, a="draining"))
-    link = network.links[0].up()
-    network.turn()
-    assert link.transport.sent() == b""
+    network = EngineHarness()
+    _, results = network.start_attempt()
+    network.directory.update(engine_list_event(2, full=False, a="draining"))
+    connection = network.connections[0].accept()
+    network.advance()
+    assert connection.transport.take_written() == b""
     assert [result.outcome for result in results] == [Outcome.NOT_STARTED]
 
 
 def test_late_response_to_a_cancelled_attempt_does_not_end_the_next_attempt() -> None:
-    network = EngineSide()
-    first, first_results = network.start()
-    link = first_link(network)
+    network = EngineHarness()
+    first, first_results = network.start_attempt()
+    connection = first_connection(network)
     first.abort(Outcome.CANCELLED)
-    network.links[1].up().say(answer(204))
-    _, second_results = network.start()
-    link.say(answer(200, PAGE, X_Sheets="1"))  # the late response to the first attempt
+    network.connections[1].accept().send(http_response(204))
+    _, second_results = network.start_attempt()
+    connection.send(http_response(200, PAGE, X_Sheets="1"))  # the late response to the first attempt
     assert [result.outcome for result in first_results] == [Outcome.CANCELLED]
     assert not second_results
 
@@ -377,36 +379,36 @@
 
     If it were treated as dead, the next attempt would run the query a second time.
     """
-    network = EngineSide()
-    attempt, results = network.start(wait=30.0)
-    network.start(wait=30.0)
-    link, _ = (connection.up() for connection in network.links)
-    link.transport.clear()
+    network = EngineHarness()
+    attempt, results = network.start_attempt(wait=30.0)
+    network.start_attempt(wait=30.0)
+    connection, _ = (connection.accept() for connection in network.connections)
+    connection.transport.clear()
     attempt.abort(Outcome.CANCELLED)
-    network.links[2].refuse()
+    network.connections[2].refuse()
     assert not results
-    link.say(answer(202))  # the ignored response to the POST releases the connection
-    network.turn(MIN_POLL_INTERVAL_S)
-    assert link.transport.sent() == DELETE
-    link.say(answer(204))
+    connection.send(http_response(202))  # the ignored response to the POST releases the connection
+    network.advance(MIN_POLL_INTERVAL_S)
+    assert connection.transport.take_written() == DELETE
+    connection.send(http_response(204))
     assert [result.outcome for result in results] == [Outcome.CANCELLED]
 
 
 def test_poll_refused_on_a_new_connection_uses_an_established_one() -> None:
-    network = EngineSide()
-    _, results = network.start(wait=30.0)
-    network.start(wait=30.0)
-    link, other_link = (connection.up() for connection in network.links)
-    link.lose()
-    network.turn()
-    network.links[2].refuse()
-    other_link.say(answer(202))
-    network.turn(2 * REUSE_DELAY_S)
+    network = EngineHarness()
+    _, results = network.start_attempt(wait=30.0)
+    network.start_attempt(wait=30.0)
+    connection, other_connection = (connection.accept() for connection in network.connections)
+    connection.disconnect()
+    network.advance()
+    network.connections[2].refuse()
+    other_connection.send(http_response(202))
+    network.advance(2 * REUSE_DELAY_S)
     assert not results
-    other_link.transport.clear()
-    network.turn(MIN_POLL_INTERVAL_S)
-    assert other_link.transport.sent() == get(0)
-    other_link.say(answer(200, PAGE, X_Sheets="1"))
+    other_connection.transport.clear()
+    network.advance(MIN_POLL_INTERVAL_S)
+    assert other_connection.transport.take_written() == get(0)
+    other_connection.send(http_response(200, PAGE, X_Sheets="1"))
     assert [result.outcome for result in results] == [Outcome.OK]
 
 
@@ -416,26 +418,26 @@
     gc.collect()
     gc.disable()
     try:
-        network = EngineSide()
-        attempt, results = network.start(wait=1.0)
+        network = EngineHarness()
+        attempt, results = network.start_attempt(wait=1.0)
         reference = weakref.ref(attempt)
-        link = first_link(network)
+        connection = first_connection(network)
         if ending == "cancelled":
             attempt.abort(Outcome.CANCELLED)
         elif ending == "expired":
-            network.turn(1.0)
+            network.advance(1.0)
         elif ending == "served":
-            link.say(answer(200, PAGE, X_Sheets="1"))
+            connection.send(http_response(200, PAGE, X_Sheets="1"))
         else:
-            link.say(b"noise")
-            network.turn()
-            network.links[1].up().say(answer(200, PAGE, X_Sheets="1"))
+            connection.send(b"noise")
+            network.advance()
+            network.connections[1].accept().send(http_response(200, PAGE, X_Sheets="1"))
         if ending in ("cancelled", "expired"):
-            network.links[1].up().say(answer(204))
+            network.connections[1].accept().send(http_response(204))
         assert len(results) == 1
         del attempt
-        network.turn(3.0)
-        network.turn(3.0)
+        network.advance(3.0)
+        network.advance(3.0)
         assert reference() is None
     finally:
         gc.enable()
--- a/tests/test_channel.py
+++ b/tests/test_channel.py
@@ -11,12 +11,12 @@
     STABLE_CONNECTION_S,
     CommandChannel,
 )
-from tests.network import Network
+from tests.network import MemoryNetwork
 
 HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n"
 
 
-class ChannelNetwork(Network):
+class ChannelNetwork(MemoryNetwork):
     """A command channel with cursor 3 that records delivered events and log lines."""
 
     def __init__(self) -> None:
@@ -42,44 +42,46 @@
 
 def test_channel_resumes_from_its_cursor_and_delivers_each_event_once() -> None:
     network = ChannelNetwork()
-    link = network.links[0].up()
-    assert link.transport.sent().startswith(b"GET /cmd/next HTTP/1.1\r\nHost: 127.0.0.1:7070\r\n")
+    connection = network.connections[0].accept()
+    assert connection.transport.take_written().startswith(
+        b"GET /cmd/next HTTP/1.1\r\nHost: 127.0.0.1:7070\r\n"
+    )
     data = HEAD + event(2) + event(3) + event(4) + b": x\n\n" + event(4) + event(5)
     for index in range(len(data)):
-        link.say(data[index : index + 1])
+        connection.send(data[index : index + 1])
     assert network.delivered == [b"e4", b"e5"]
 
 
 def test_events_in_a_chunked_response_are_delivered() -> None:
     network = ChannelNetwork()
-    link = network.links[0].up()
+    connection = network.connections[0].accept()
     chunks = b"".join(
         b"%x\r\n%s\r\n" % (len(chunk), chunk) for chunk in (event(4)[:5], event(4)[5:], event(5))
     )
-    link.say(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunks)
+    connection.send(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunks)
     assert network.delivered == [b"e4", b"e5"]
 
 
 def test_ended_stream_is_resumed_at_once_after_the_last_event() -> None:
     network = ChannelNetwork()
-    link = network.links[0].up()
-    link.say(HEAD + event(9))
-    network.turn(STABLE_CONNECTION_S)
-    link.lose()
-    network.turn()
-    assert b"\r\nLast-Event-ID: 9\r\n" in network.links[1].up().transport.sent()
+    connection = network.connections[0].accept()
+    connection.send(HEAD + event(9))
+    network.advance(STABLE_CONNECTION_S)
+    connection.disconnect()
+    network.advance()
+    assert b"\r\nLast-Event-ID: 9\r\n" in network.connections[1].accept().transport.take_written()
 
 
 def test_silent_stream_is_aborted_but_comments_keep_it_open() -> None:
     network = ChannelNetwork()
-    link = network.links[0].up()
-    link.say(HEAD)
+    connection = network.connections[0].accept()
+    connection.send(HEAD)
     for _ in range(5):
-        network.turn(SILENCE_TIMEOUT_S / 2)
-        link.say(b": still here\n\n")
-    assert not link.transport.aborted
-    network.turn(SILENCE_TIMEOUT_S)
-    assert link.transport.aborted
+        network.advance(SILENCE_TIMEOUT_S / 2)
+        connection.send(b": still here\n\n")
+    assert not connection.transport.aborted
+    network.advance(SILENCE_TIMEOUT_S)
+    assert connection.transport.aborted
     assert network.log_events == ["channel_silent"]
 
 
@@ -87,87 +89,91 @@
     network = ChannelNetwork()
     seconds, step = 10.0, 0.01
     for _ in range(int(seconds / step)):
-        for link in network.links:
-            if link.protocol is None:
-                link.protocol = object()
-                link.refuse()
-        network.turn(step)
-    assert seconds / MAX_RECONNECT_DELAY_S * 0.8 < len(network.links) < seconds / MAX_RECONNECT_DELAY_S + 10
+        for connection in network.connections:
+            if connection.protocol is None:
+                connection.protocol = object()
+                connection.refuse()
+        network.advance(step)
+    assert (
+        seconds / MAX_RECONNECT_DELAY_S * 0.8
+        < len(network.connections)
+        < seconds / MAX_RECONNECT_DELAY_S + 10
+    )
 
 
 def test_response_other_than_a_stream_is_logged_and_retried() -> None:
     network = ChannelNetwork()
-    link = network.links[0].up()
-    link.say(b"HTTP/1.1 500 no\r\n\r\n")
-    assert link.transport.aborted
+    connection = network.connections[0].accept()
+    connection.send(b"HTTP/1.1 500 no\r\n\r\n")
+    assert connection.transport.aborted
     assert network.log_events == ["channel_unreadable"]
-    link.lose()
-    network.turn()
-    assert len(network.links) == 2
+    connection.disconnect()
+    network.advance()
+    assert len(network.connections) == 2
 
 
 def test_no_connection_is_opened_after_stop() -> None:
     network = ChannelNetwork()
-    link = network.links[0].up()
+    connection = network.connections[0].accept()
     network.channel.stop()
-    assert link.transport.aborted
-    link.lose()
-    network.turn(10.0)
-    assert len(network.links) == 1
+    assert connection.transport.aborted
+    connection.disconnect()
+    network.advance(10.0)
+    assert len(network.connections) == 1
 
 
 def test_change_of_address_connects_at_once_and_ignores_the_old_connection() -> None:
     network = ChannelNetwork()
-    old = network.links[0].up()
-    old.say(HEAD + event(4))
+    old = network.connections[0].accept()
+    old.send(HEAD + event(4))
     network.channel.change_address(("127.0.0.1", 7071))
-    new = network.links[1].up()
+    new = network.connections[1].accept()
     assert new.address == ("127.0.0.1", 7071)
-    sent = new.transport.sent()
+    sent = new.transport.take_written()
     assert b"Host: 127.0.0.1:7071\r\n" in sent and b"\r\nLast-Event-ID: 4\r\n" in sent
     assert old.transport.aborted
-    old.say(event(5))
+    old.send(event(5))
     assert network.delivered == [b"e4"]
-    old.lose()
-    new.say(HEAD + event(5))
-    network.turn(MAX_RECONNECT_DELAY_S)
+    old.disconnect()
+    new.send(HEAD + event(5))
+    network.advance(MAX_RECONNECT_DELAY_S)
     assert network.delivered == [b"e4", b"e5"]
-    assert len(network.links) == 2
-    new.lose()
-    network.turn(MAX_RECONNECT_DELAY_S)
-    assert network.links[2].address == ("127.0.0.1", 7071)
+    assert len(network.connections) == 2
+    new.disconnect()
+    network.advance(MAX_RECONNECT_DELAY_S)
+    assert network.connections[2].address == ("127.0.0.1", 7071)
 
 
 def test_repeated_change_of_address_during_backoff_opens_one_connection() -> None:
     network = ChannelNetwork()
-    network.links[0].up().lose()
-    network.turn()
-    network.links[1].up().lose()  # the next connection now waits for the backoff
+    network.connections[0].accept().disconnect()
+    network.advance()
+    network.connections[1].accept().disconnect()  # the next connection now waits for the backoff
     network.channel.change_address(("127.0.0.1", 7071))
     network.channel.change_address(("127.0.0.1", 7071))
-    network.turn(MAX_RECONNECT_DELAY_S)
-    assert [link.address[1] for link in network.links] == [7070, 7070, 7071]
+    network.advance(MAX_RECONNECT_DELAY_S)
+    assert [connection.address[1] for connection in network.connections] == [7070, 7070, 7071]
 
 
 def test_change_of_address_stops_a_pending_connect() -> None:
     network = ChannelNetwork()
-    network.links[0].refuse()
-    network.turn()
+    network.connections[0].refuse()
+    network.advance()
     network.channel.change_address(("127.0.0.1", 7071))
     assert network.clock.connectors[-1].stoppedConnecting
-    network.links[1].refuse()
-    network.turn()
-    assert network.links[2].address[1] == 7071
+    network.connections[1].refuse()
+    network.advance()
+    assert network.connections[2].address[1] == 7071
 
 
 def test_unreadable_event_is_requested_once_more_and_then_skipped() -> None:
     network = ChannelNetwork()
-    link = network.links[0].up()
-    link.say(HEAD + b"id: 4\ndata: unreadable?\n\n" + event(5))
-    assert link.transport.aborted
-    link.lose()
-    network.turn(MAX_RECONNECT_DELAY_S)
-    link = network.links[1].up()
-    assert b"\r\nLast-Event-ID: 3\r\n" in link.transport.sent()
-    link.say(HEAD + b"id: 4\ndata: unreadable?\n\n" + event(5))
+    connection = network.connections[0].accept()
+    connection.send(HEAD + b"id: 4\ndata: unreadable?\n\n" + event(5))
+    assert connection.transport.aborted
+    connection.disconnect()
+    network.advance(MAX_RECONNECT_DELAY_S)
+    connection = network.connections[1].accept()
+    assert b"\r\nLast-Event-ID: 3\r\n" in connection.transport.take_written()
+    connection.send(HEAD + b"id: 4\ndata: unreadable?\n\n" + event(5))
     assert network.delivered == [b"unreadable?", b"unreadable?", b"e5"]
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -11,7 +11,7 @@
 
 from micahold.counters import Counters
 from micahold.protocol.mysql_packets import encode_packet
-from micahold.protocol.mysql_results import ResultRows
+from micahold.protocol.mysql_results import ResultSetEncoder
 from micahold.protocol.query_fields import ClientQuery
 from micahold.transport.clients import (
     CLOSE_TIMEOUT_S,
@@ -28,8 +28,15 @@
     UnusableQueryError,
 )
 from tests import mysql_client
-from tests.mysql_client import ask, command, login, packets, query, read_result
-from tests.network import Transport
+from tests.mysql_client import (
+    command_packet,
+    decode_packets,
+    decode_result_set,
+    login_packet,
+    query_packet,
+    query_with_fields,
+)
+from tests.network import MemoryTransport
 
 
 class RecordingHandler:
@@ -74,38 +81,38 @@
 
     def connect(self) -> tuple[ClientSession, Any]:
         """Opens a connection; its transport holds the greeting."""
-        session, transport = self.sessions.buildProtocol(None), Transport()
+        session, transport = self.sessions.buildProtocol(None), MemoryTransport()
         session.makeConnection(transport)
         return session, transport
 
     def connect_and_log_in(self) -> tuple[ClientSession, Any]:
         """Opens a connection and logs in; its transport is empty."""
         session, transport = self.connect()
-        session.dataReceived(login())
+        session.dataReceived(login_packet())
         transport.clear()
         return session, transport
 
 
 def error_of(data: bytes) -> mysql_client.ServerError:
     """The error in the last packet."""
-    return mysql_client.ServerError(packets(data)[-1][1])
+    return mysql_client.ServerError(decode_packets(data)[-1][1])
 
 
 def result_packets(page: bytes) -> bytes:
     """The encoded result set of one page."""
-    result_rows = ResultRows()
+    result_rows = ResultSetEncoder()
     result_rows.add_page(page)
-    return result_rows.answer()
+    return result_rows.finish()
 
 
 def test_login_and_first_query_sent_before_the_greeting_are_accepted_in_any_split() -> None:
-    data = login() + ask()
+    data = login_packet() + query_with_fields()
     for split in range(len(data) + 1):
         harness = SessionHarness()
         session, transport = harness.connect()
         session.dataReceived(data[:split])
         session.dataReceived(data[split:])
-        greeting, ok = packets(transport.sent())
+        greeting, ok = decode_packets(transport.take_written())
         assert greeting[0] == 0 and greeting[1][0] == 10
         assert ok[0] == 2 and ok[1][0] == 0
         assert [query.id for query in harness.handler.queries] == [b"%016x" % 1]
@@ -114,17 +121,17 @@
 def test_result_is_sent_to_the_client() -> None:
     harness = SessionHarness()
     session, transport = harness.connect_and_log_in()
-    session.dataReceived(ask())
+    session.dataReceived(query_with_fields())
     harness.handler.replies[0].send_result(result_packets(b"a\t\xff\tNULL\n"))
-    assert read_result(transport.sent()) == [(b"a", b"\xff", b"NULL")]
+    assert decode_result_set(transport.take_written()) == [(b"a", b"\xff", b"NULL")]
 
 
 def test_refusal_carries_the_retry_hint() -> None:
     harness = SessionHarness()
     session, transport = harness.connect_and_log_in()
-    session.dataReceived(ask())
+    session.dataReceived(query_with_fields())
     harness.handler.replies[0].refuse(1.25)
-    error = error_of(transport.sent())
+    error = error_of(transport.take_written())
     assert error.code in (1040, 1203, 1226)
     assert error.text == "after=1250"
 
@@ -132,63 +139,67 @@
 def test_failure_has_none_of_the_error_codes_of_a_refusal() -> None:
     harness = SessionHarness()
     session, transport = harness.connect_and_log_in()
-    session.dataReceived(ask())
+    session.dataReceived(query_with_fields())
     harness.handler.replies[0].fail("failed")
-    assert error_of(transport.sent()).code not in (1040, 1203, 1226)
+    assert error_of(transport.take_written()).code not in (1040, 1203, 1226)
 
 
 def test_queries_of_one_session_run_one_at_a_time() -> None:
     harness = SessionHarness()
     session, transport = harness.connect_and_log_in()
-    session.dataReceived(ask(1) + ask(2))
+    session.dataReceived(query_with_fields(1) + query_with_fields(2))
     assert len(harness.handler.queries) == 1
     harness.handler.replies[0].send_result(result_packets(b""))
     harness.clock.advance(0)
     assert [query.id for query in harness.handler.queries] == [b"%016x" % 1, b"%016x" % 2]
-    assert len(read_result(transport.sent())) == 0
+    assert len(decode_result_set(transport.take_written())) == 0
 
 
 @pytest.mark.parametrize(
     ("sent", "code"),
     [
-        (command(0x0E), None),
-        (command(0x02, b"dw"), None),
-        (command(0x02, b"other"), 1049),
-        (command(0x16, b"x"), 1047),
-        (command(0x99), 1047),
+        (command_packet(0x0E), None),
+        (command_packet(0x02, b"dw"), None),
+        (command_packet(0x02, b"other"), 1049),
+        (command_packet(0x16, b"x"), 1047),
+        (command_packet(0x99), 1047),
         (encode_packet(0, b""), 1047),
-        (query(b"SELECT 1"), 1064),
-        (query(b"KILL QUERY 999999"), 1094),
+        (query_packet(b"SELECT 1"), 1064),
+        (query_packet(b"KILL QUERY 999999"), 1094),
     ],
 )
 def test_commands_are_answered_and_the_session_continues(sent: bytes, code: int | None) -> None:
     harness = SessionHarness()
     session, transport = harness.connect_and_log_in()
     session.dataReceived(sent)
-    ((number, payload),) = packets(transport.sent())
+    ((number, payload),) = decode_packets(transport.take_written())
     assert number == 1
     assert payload[0] == 0 if code is None else mysql_client.ServerError(payload).code == code
-    session.dataReceived(ask())
+    session.dataReceived(query_with_fields())
     assert len(harness.handler.queries) == 1  # the session continues
 
 
 def test_quit_closes_the_session() -> None:
     harness = SessionHarness()
     session, transport = harness.connect_and_log_in()
-    session.dataReceived(command(0x01))
+    session.dataReceived(command_packet(0x01))
     assert transport.disconnecting
 
 
 @pytest.mark.parametrize(
     ("data", "code"),
-    [(login(user=b"root"), 1045), (login(database=b"other"), 1049), (encode_packet(1, b"\0" * 40), 1043)],
+    [
+        (login_packet(user=b"root"), 1045),
+        (login_packet(database=b"other"), 1049),
+        (encode_packet(1, b"\0" * 40), 1043),
+    ],
 )
 def test_wrong_user_database_or_protocol_is_rejected(data: bytes, code: int) -> None:
     harness = SessionHarness()
     session, transport = harness.connect()
     transport.clear()
     session.dataReceived(data)
-    assert error_of(transport.sent()).code == code
+    assert error_of(transport.take_written()).code == code
     assert transport.disconnecting
 
 
@@ -196,8 +207,8 @@
     harness = SessionHarness()
     session, transport = harness.connect_and_log_in()
     harness.handler.error = UnusableQueryError("unknown class")
-    session.dataReceived(ask())
-    assert error_of(transport.sent()).code == 1105
+    session.dataReceived(query_with_fields())
+    assert error_of(transport.take_written()).code == 1105
 
 
 def test_exception_in_one_session_closes_only_that_session_and_is_logged() -> None:
@@ -205,11 +216,11 @@
     session, transport = harness.connect_and_log_in()
     other, _ = harness.connect_and_log_in()
     harness.handler.error = RuntimeError("x")
-    session.dataReceived(ask())
+    session.dataReceived(query_with_fields())
     assert transport.disconnecting
     assert harness.log_events == ["session_error"]
     harness.handler.error = None
-    other.dataReceived(ask())
+    other.dataReceived(query_with_fields())
     assert len(harness.handler.queries) == 1
 
 
@@ -217,14 +228,14 @@
     harness = SessionHarness()
     session, transport = harness.connect_and_log_in()
     session.dataReceived((MAX_PACKET_BYTES + 1).to_bytes(3, "little") + b"\0")
-    assert error_of(transport.sent()).code == 1153
+    assert error_of(transport.take_written()).code == 1153
     assert transport.disconnecting
 
 
 def test_client_that_sends_beyond_the_buffer_limit_is_disconnected() -> None:
     harness = SessionHarness()
     session, transport = harness.connect_and_log_in()
-    session.dataReceived(ask())
+    session.dataReceived(query_with_fields())
     for _ in range(MAX_SESSION_BUFFER_BYTES // 10_000 + 2):
         session.dataReceived(bytes(10_000))
     assert transport.disconnecting
@@ -235,11 +246,11 @@
     harness = SessionHarness()
     session, transport = harness.connect_and_log_in()
     session.pauseProducing()
-    session.dataReceived(command(0x0E) * 1000)
-    assert transport.sent() == b""
+    session.dataReceived(command_packet(0x0E) * 1000)
+    assert transport.take_written() == b""
     session.resumeProducing()
     harness.clock.advance(0)
-    assert len(packets(transport.sent())) == 1000
+    assert len(decode_packets(transport.take_written())) == 1000
 
 
 def test_kill_query_drops_the_open_query_of_the_named_session_only() -> None:
@@ -247,16 +258,18 @@
     session, transport = harness.connect_and_log_in()
     other, other_transport = harness.connect_and_log_in()
     killer, killer_transport = harness.connect_and_log_in()
-    session.dataReceived(ask(1))
-    other.dataReceived(ask(2))
-    killer.dataReceived(query(b"KILL QUERY %d" % session.connection_id))
-    assert packets(killer_transport.sent())[0][1][0] == 0
+    session.dataReceived(query_with_fields(1))
+    other.dataReceived(query_with_fields(2))
+    killer.dataReceived(query_packet(b"KILL QUERY %d" % session.connection_id))
+    assert decode_packets(killer_transport.take_written())[0][1][0] == 0
     assert harness.handler.dropped == [1]
-    assert error_of(transport.sent()).code == 1317
-    assert other_transport.sent() == b""
-    killer.dataReceived(query(b"KILL QUERY %d" % session.connection_id))  # no query is open there any more
+    assert error_of(transport.take_written()).code == 1317
+    assert other_transport.take_written() == b""
+    killer.dataReceived(
+        query_packet(b"KILL QUERY %d" % session.connection_id)
+    )  # no query is open there any more
     assert harness.handler.dropped == [1]
-    assert transport.sent() == b""
+    assert transport.take_written() == b""
 
 
 def test_query_is_submitted_with_the_time_it_may_have_been_unread() -> None:
@@ -265,21 +278,21 @@
     harness.handler.unread_s = 0.04
     session, _ = harness.connect()
     harness.clock.advance(0.01)
-    session.dataReceived(login() + ask(1))  # may have arrived with the connection
+    session.dataReceived(login_packet() + query_with_fields(1))  # may have arrived with the connection
     harness.handler.replies[0].refuse(0.0)
     harness.handler.unread_s = 0.02
-    session.dataReceived(ask(2))
+    session.dataReceived(query_with_fields(2))
     assert [round(seconds, 6) for seconds in harness.handler.waited] == [0.05, 0.02]
 
 
 def test_lost_connection_drops_its_query_and_a_late_result_is_ignored() -> None:
     harness = SessionHarness()
     session, transport = harness.connect_and_log_in()
-    session.dataReceived(ask())
+    session.dataReceived(query_with_fields())
     session.connectionLost(Failure(error.ConnectionLost()))
     assert harness.handler.dropped == [1]
     harness.handler.replies[0].send_result(result_packets(b""))
-    assert transport.sent() == b""
+    assert transport.take_written() == b""
     assert len(harness.sessions) == 0
 
 
@@ -297,7 +310,7 @@
     harness = SessionHarness(max_sessions=1)
     harness.connect()
     _, transport = harness.connect()
-    assert error_of(transport.sent()).code == 1040
+    assert error_of(transport.take_written()).code == 1040
     assert transport.disconnecting
 
 
@@ -317,7 +330,9 @@
     return harness
 
 
-@pytest.mark.parametrize("sent", [b"", login()[:20], login(), login() + ask()[:30], b"\x05\0\0"])
+@pytest.mark.parametrize(
+    "sent", [b"", login_packet()[:20], login_packet(), login_packet() + query_with_fields()[:30], b"\x05\0\0"]
+)
 def test_client_without_a_complete_command_times_out_within_three_seconds(sent: bytes) -> None:
     harness = harness_with_sweep()
     session, transport = harness.connect()
@@ -325,15 +340,15 @@
     pass_time(harness, 1.5)
     assert not transport.disconnecting
     pass_time(harness, 1.0)
-    assert error_of(transport.sent()).code == 1159
+    assert error_of(transport.take_written()).code == 1159
     assert transport.disconnecting
 
 
 def test_packet_sent_byte_by_byte_does_not_extend_the_timeout() -> None:
     harness = harness_with_sweep()
     session, transport = harness.connect_and_log_in()
-    session.dataReceived(command(0x0E))
-    for byte in ask()[: round(PACKET_TIMEOUT_S / SWEEP_INTERVAL_S) + 2]:
+    session.dataReceived(command_packet(0x0E))
+    for byte in query_with_fields()[: round(PACKET_TIMEOUT_S / SWEEP_INTERVAL_S) + 2]:
         session.dataReceived(bytes((byte,)))
         harness.clock.advance(SWEEP_INTERVAL_S)
     assert transport.disconnecting
@@ -342,7 +357,7 @@
 def test_idle_session_is_closed_but_never_one_with_an_open_query() -> None:
     harness = harness_with_sweep()
     session, transport = harness.connect_and_log_in()
-    session.dataReceived(ask())
+    session.dataReceived(query_with_fields())
     pass_time(harness, 4 * IDLE_TIMEOUT_S)
     assert not transport.disconnecting
     harness.handler.replies[0].send_result(result_packets(b""))
@@ -356,7 +371,7 @@
 def test_client_that_does_not_read_its_last_bytes_is_aborted() -> None:
     harness = harness_with_sweep()
     session, transport = harness.connect_and_log_in()
-    session.dataReceived(command(0x01))
+    session.dataReceived(command_packet(0x01))
     assert transport.disconnecting and not transport.aborted
     pass_time(harness, CLOSE_TIMEOUT_S + SWEEP_INTERVAL_S)
     assert transport.aborted
@@ -365,18 +380,18 @@
 def test_silent_sessions_are_evicted_first_then_idle_ones_and_never_one_with_a_query() -> None:
     harness = harness_with_sweep(max_sessions=3)
     asking, asking_transport = harness.connect_and_log_in()
-    asking.dataReceived(ask(1))
+    asking.dataReceived(query_with_fields(1))
     idle, idle_transport = harness.connect_and_log_in()
-    idle.dataReceived(command(0x0E))
+    idle.dataReceived(command_packet(0x0E))
     harness.clock.advance(MIN_EVICTION_AGE_S)
     _, silent_transport = harness.connect()
     harness.clock.advance(MIN_EVICTION_AGE_S)
     for transport in (silent_transport, idle_transport):
         fresh, fresh_transport = harness.connect_and_log_in()
         assert transport.disconnecting and not fresh_transport.disconnecting
-        fresh.dataReceived(ask(len(harness.handler.queries) + 1))
+        fresh.dataReceived(query_with_fields(len(harness.handler.queries) + 1))
     _, last = harness.connect()
-    assert error_of(last.sent()).code == 1040  # every session has an open query
+    assert error_of(last.take_written()).code == 1040  # every session has an open query
     assert not asking_transport.disconnecting
     assert len(harness.sessions) == 3
 
@@ -397,7 +412,7 @@
 def test_buffered_bytes_are_released_when_the_connection_is_lost() -> None:
     harness = harness_with_sweep()
     session, _ = harness.connect_and_log_in()
-    session.dataReceived(ask()[:20])
+    session.dataReceived(query_with_fields()[:20])
     assert harness.sessions.buffered_bytes == 20
     session.connectionLost(Failure(error.ConnectionLost()))
     assert harness.sessions.buffered_bytes == 0
@@ -406,8 +421,8 @@
 def test_session_with_repeated_unusable_queries_is_closed() -> None:
     harness = harness_with_sweep()
     session, transport = harness.connect_and_log_in()
-    session.dataReceived(query(b"SELECT 1") * 100)
-    assert len(packets(transport.sent())) == MAX_UNUSABLE_QUERIES
+    session.dataReceived(query_packet(b"SELECT 1") * 100)
+    assert len(decode_packets(transport.take_written())) == MAX_UNUSABLE_QUERIES
     assert transport.disconnecting
     assert harness.counters.values["queries_unusable"] == MAX_UNUSABLE_QUERIES
 
@@ -416,8 +431,8 @@
 def test_packets_out_of_order_close_the_session_without_a_query(number: int) -> None:
     harness = harness_with_sweep()
     session, transport = harness.connect_and_log_in()
-    session.dataReceived(encode_packet(number, ask()[4:]))
-    assert error_of(transport.sent()).code == 1156
+    session.dataReceived(encode_packet(number, query_with_fields()[4:]))
+    assert error_of(transport.take_written()).code == 1156
     assert transport.disconnecting and not harness.handler.queries
 
 
@@ -426,6 +441,6 @@
     session, transport = harness.connect()
     harness.clock.advance(10.0)  # after a stall, timers fire before sockets are read
     assert not transport.disconnecting
-    session.dataReceived(login() + ask())
+    session.dataReceived(login_packet() + query_with_fields())
     pass_time(harness, 1.0)
     assert not transport.disconnecting and len(harness.handler.queries) == 1
--- a/tests/test_end_to_end.py
+++ b/tests/test_end_to_end.py
@@ -14,7 +14,7 @@
 
 import pytest
 
-from tests.mysql_client import ServerError, command, query
+from tests.mysql_client import ServerError, command_packet, query_packet
 from tests.standins import Channel, Client, Engine, configuration, free_port, list_event, member, until
 
 ROOT = Path(__file__).parent.parent
@@ -78,7 +78,7 @@
     )
     assert body == statement
     assert program.channel.cursors == ["3"]
-    client.send(command(0x0E))
+    client.send(command_packet(0x0E))
     assert client.read()[4] == 0
 
 
@@ -92,16 +92,20 @@
 
 def test_a_query_is_cancelled(program: Program) -> None:
     client, killer = Client(program.port), Client(program.port)
-    client.send(query(b"/* class=lookup,id=00000000000000aa,wait=4000,tenant=one */ SELECT hold FROM s_3.t"))
+    client.send(
+        query_packet(b"/* class=lookup,id=00000000000000aa,wait=4000,tenant=one */ SELECT hold FROM s_3.t")
+    )
     until(lambda: program.engine.started)
-    killer.send(query(b"KILL QUERY %d" % client.id))
+    killer.send(query_packet(b"KILL QUERY %d" % client.id))
     assert killer.read()[4] == 0
     until(lambda: not program.engine.started)  # DELETE came
 
 
 def test_a_drain_answers_what_was_taken_and_ends_with_0(program: Program) -> None:
     client = Client(program.port)
-    client.send(query(b"/* class=lookup,id=00000000000000aa,wait=4000,tenant=one */ SELECT slow FROM s_3.t"))
+    client.send(
+        query_packet(b"/* class=lookup,id=00000000000000aa,wait=4000,tenant=one */ SELECT slow FROM s_3.t")
+    )
     until(lambda: program.engine.started)
     program.process.send_signal(signal.SIGTERM)
     program.process.send_signal(signal.SIGTERM)
@@ -119,7 +123,9 @@
 def test_counters_are_printed_on_request_and_add_up(program: Program) -> None:
     client = Client(program.port)
     assert client.ask(1, b"SELECT rows FROM s_3.t") == ROWS
-    client.send(query(b"/* class=lookup,id=00000000000000aa,wait=4000,tenant=one */ SELECT hold FROM s_3.t"))
+    client.send(
+        query_packet(b"/* class=lookup,id=00000000000000aa,wait=4000,tenant=one */ SELECT hold FROM s_3.t")
+    )
     until(lambda: f"{0xAA:016x}" in program.engine.started)
     program.process.send_signal(signal.SIGUSR1)
     until(lambda: any(event["event"] == "counters" for event in program.events()))
--- a/tests/test_engine_calls.py
+++ b/tests/test_engine_calls.py
@@ -18,10 +18,10 @@
     EngineConnectionPools,
     UnreadableResponseError,
 )
-from tests.network import EngineSide, answer, news
+from tests.network import EngineHarness, engine_list_event, http_response
 
 
-class CallRecorder(EngineSide):
+class CallRecorder(EngineHarness):
     """Makes calls and records the status or the error type of each under its name."""
 
     def __init__(self, max_connections: int = 10) -> None:
@@ -43,57 +43,57 @@
 def test_connection_is_reused_for_the_same_engine_only() -> None:
     network = CallRecorder()
     network.call("one")
-    link = network.links[0].up()
-    assert link.transport.sent() == b"one"
-    link.say(answer())
-    network.turn(REUSE_DELAY_S)
+    connection = network.connections[0].accept()
+    assert connection.transport.take_written() == b"one"
+    connection.send(http_response())
+    network.advance(REUSE_DELAY_S)
     network.call("two")
-    assert link.transport.sent() == b"two"
+    assert connection.transport.take_written() == b"two"
     network.call("other", engine="b")
-    assert [opened.address for opened in network.links] == [("127.0.0.1", 4097), ("127.0.0.1", 4098)]
+    assert [opened.address for opened in network.connections] == [("127.0.0.1", 4097), ("127.0.0.1", 4098)]
     assert network.outcomes == {"one": 200}
 
 
 def test_duplicate_response_is_not_taken_for_the_response_to_the_next_call() -> None:
     network = CallRecorder()
     network.call("one")
-    link = network.links[0].up()
-    link.say(answer())
+    connection = network.connections[0].accept()
+    connection.send(http_response())
     network.call("two")
-    assert len(network.links) == 2  # the connection that was just used is not reused yet
-    link.say(answer(500))
-    assert link.transport.aborted
-    network.links[1].up().say(answer(204))
+    assert len(network.connections) == 2  # the connection that was just used is not reused yet
+    connection.send(http_response(500))
+    assert connection.transport.aborted
+    network.connections[1].accept().send(http_response(204))
     assert network.outcomes == {"one": 200, "two": 204}
-    network.turn(REUSE_DELAY_S)
+    network.advance(REUSE_DELAY_S)
     network.call("page", self_identifying=True)
-    network.links[1].say(answer(200))
+    network.connections[1].send(http_response(200))
     network.call("three", self_identifying=True)
-    assert len(network.links) == 2
+    assert len(network.connections) == 2
 
 
 def test_response_followed_by_garbage_is_delivered_and_its_connection_aborted() -> None:
     network = CallRecorder()
     network.call("one")
-    link = network.links[0].up()
-    link.say(answer() + b"noise")
+    connection = network.connections[0].accept()
+    connection.send(http_response() + b"noise")
     assert network.outcomes == {"one": 200}
-    assert link.transport.aborted
+    assert connection.transport.aborted
     assert network.pools.open_connections == 0
 
 
-@pytest.mark.parametrize("partial", [b"", b"HTTP/1.1 200 OK\r\nContent-Le", answer(200, b"body")[:-1]])
+@pytest.mark.parametrize("partial", [b"", b"HTTP/1.1 200 OK\r\nContent-Le", http_response(200, b"body")[:-1]])
 def test_call_with_an_incomplete_or_missing_response_fails_after_the_timeout(partial: bytes) -> None:
     network = CallRecorder()
     network.call("one")
-    link = network.links[0].up()
-    link.say(partial)
-    network.turn(RESPONSE_TIMEOUT_S - 0.01)
+    connection = network.connections[0].accept()
+    connection.send(partial)
+    network.advance(RESPONSE_TIMEOUT_S - 0.01)
     assert not network.outcomes
-    network.turn(0.02)
-    network.turn(LATE_READ_GRACE_S)
+    network.advance(0.02)
+    network.advance(LATE_READ_GRACE_S)
     assert network.outcomes == {"one": ConnectionBrokenError}
-    assert link.transport.aborted
+    assert connection.transport.aborted
     assert network.pools.open_connections == 0
 
 
@@ -101,21 +101,21 @@
     """After a stall, timers fire before sockets are read; this must not fail all calls."""
     network = CallRecorder()
     network.call("one")
-    link = network.links[0].up()
-    network.turn(5 * RESPONSE_TIMEOUT_S)
-    link.say(answer())
-    network.turn(LATE_READ_GRACE_S)
+    connection = network.connections[0].accept()
+    network.advance(5 * RESPONSE_TIMEOUT_S)
+    connection.send(http_response())
+    network.advance(LATE_READ_GRACE_S)
     assert network.outcomes == {"one": 200}
 
 
 def test_connection_with_a_connection_close_response_is_not_reused() -> None:
     network = CallRecorder()
     network.call("one")
-    link = network.links[0].up()
-    link.say(answer(Connection="close"))
-    assert link.transport.aborted
+    connection = network.connections[0].accept()
+    connection.send(http_response(Connection="close"))
+    assert connection.transport.aborted
     network.call("two")
-    assert len(network.links) == 2
+    assert len(network.connections) == 2
 
 
 @pytest.mark.parametrize(
@@ -123,17 +123,17 @@
     [
         ("refuse", ConnectError),
         ("time_out", ConnectError),
-        ("lose", ConnectionBrokenError),
-        ("say", UnreadableResponseError),
+        ("disconnect", ConnectionBrokenError),
+        ("send", UnreadableResponseError),
     ],
 )
 def test_each_kind_of_failure_has_its_own_error(event: str, error: type[CallError]) -> None:
     network = CallRecorder()
     network.call("one")
-    link = network.links[0]
-    if event in ("lose", "say"):
-        link.up()
-    getattr(link, event)(*([b"no HTTP at all\r\n\r\n"] if event == "say" else []))
+    connection = network.connections[0]
+    if event in ("disconnect", "send"):
+        connection.accept()
+    getattr(connection, event)(*([b"no HTTP at all\r\n\r\n"] if event == "send" else []))
     assert network.outcomes == {"one": error}
     assert network.pools.open_connections == 0
 
@@ -141,7 +141,7 @@
 def test_connect_timeout_is_passed_to_the_reactor() -> None:
     network = CallRecorder()
     network.call("one")
-    assert network.links[0].timeout == 0.25
+    assert network.connections[0].timeout == 0.25
 
 
 def test_calls_beyond_the_connection_limit_wait_in_order_of_their_due_time() -> None:
@@ -149,22 +149,22 @@
     network.call("one", due_at=1.0)
     network.call("late", due_at=9.0)
     network.call("soon", due_at=2.0)
-    assert len(network.links) == 1
-    network.links[0].up().say(answer())
-    assert network.links[1].up().transport.sent() == b"soon"
-    network.links[1].say(answer())
-    assert network.links[2].up().transport.sent() == b"late"
+    assert len(network.connections) == 1
+    network.connections[0].accept().send(http_response())
+    assert network.connections[1].accept().transport.take_written() == b"soon"
+    network.connections[1].send(http_response())
+    assert network.connections[2].accept().transport.take_written() == b"late"
     assert network.pools.open_connections == 1
 
 
 def test_idle_connection_is_evicted_for_another_engine() -> None:
     network = CallRecorder(max_connections=1)
     network.call("one")
-    link = network.links[0].up()
-    link.say(answer())
+    connection = network.connections[0].accept()
+    connection.send(http_response())
     network.call("other", engine="b")
-    assert link.transport.aborted
-    assert len(network.links) == 2
+    assert connection.transport.aborted
+    assert len(network.connections) == 2
     assert network.pools.open_connections == 1
 
 
@@ -172,127 +172,127 @@
     network = CallRecorder(max_connections=1)
     network.call("one")
     network.call("two")
-    network.links[0].up().lose()
-    network.turn()
+    network.connections[0].accept().disconnect()
+    network.advance()
     assert network.outcomes == {"one": ConnectionBrokenError}
-    assert network.links[1].up().transport.sent() == b"two"
+    assert network.connections[1].accept().transport.take_written() == b"two"
 
 
 def test_abandoned_waiting_call_is_never_sent() -> None:
     network = CallRecorder(max_connections=1)
     network.call("one")
     network.call("two").abandon()
-    link = network.links[0].up()
-    link.transport.clear()
-    link.say(answer())
-    assert link.transport.sent() == b""
+    connection = network.connections[0].accept()
+    connection.transport.clear()
+    connection.send(http_response())
+    assert connection.transport.take_written() == b""
     assert network.outcomes == {"one": 200}
 
 
 def test_response_to_an_abandoned_call_is_ignored_and_its_connection_reused() -> None:
     network = CallRecorder()
     call = network.call("one")
-    link = network.links[0].up()
+    connection = network.connections[0].accept()
     call.abandon()
-    link.say(answer())
-    network.turn(RESPONSE_TIMEOUT_S * 2)
+    connection.send(http_response())
+    network.advance(RESPONSE_TIMEOUT_S * 2)
     assert network.outcomes == {}
-    assert not link.transport.aborted
-    link.transport.clear()
+    assert not connection.transport.aborted
+    connection.transport.clear()
     network.call("two")
-    assert link.transport.sent() == b"two"
+    assert connection.transport.take_written() == b"two"
 
 
 def test_connection_of_an_abandoned_call_without_a_response_is_aborted() -> None:
     network = CallRecorder()
     call = network.call("one")
-    link = network.links[0].up()
+    connection = network.connections[0].accept()
     call.abandon()
-    network.turn(RESPONSE_TIMEOUT_S)
-    network.turn(LATE_READ_GRACE_S)
-    assert link.transport.aborted
+    network.advance(RESPONSE_TIMEOUT_S)
+    network.advance(LATE_READ_GRACE_S)
+    assert connection.transport.aborted
     assert network.pools.open_connections == 0
 
 
 def test_engine_list_is_checked_again_before_the_first_byte() -> None:
     network = CallRecorder()
     network.call("one", should_send=lambda: network.directory.accepts_queries("a"))
-    network.directory.update(news(2, full=False, a="draining"))
-    link = network.links[0].up()
-    network.turn()
-    assert link.transport.sent() == b""
+    network.directory.update(engine_list_event(2, full=False, a="draining"))
+    connection = network.connections[0].accept()
+    network.advance()
+    assert connection.transport.take_written() == b""
     assert network.outcomes == {"one": CallNotSentError}
 
 
 def test_nothing_is_sent_to_the_address_of_an_engine_that_is_gone() -> None:
     network = CallRecorder()
     network.call("one")
-    link = network.links[0].up()
-    link.say(answer())
-    for engine in network.directory.update(news(2, a="gone", b="up")):
+    connection = network.connections[0].accept()
+    connection.send(http_response())
+    for engine in network.directory.update(engine_list_event(2, a="gone", b="up")):
         network.pools.close_idle(engine)
-    assert link.transport.aborted
+    assert connection.transport.aborted
     network.call("two")
-    network.turn()
+    network.advance()
     assert network.outcomes["two"] is CallNotSentError
-    assert len(network.links) == 1
+    assert len(network.connections) == 1
 
 
 def test_engine_with_a_changed_address_is_called_at_the_new_one() -> None:
     network = CallRecorder()
     network.call("one")
-    network.links[0].up().say(answer())
-    moved = news(2, full=False, a="up")
+    network.connections[0].accept().send(http_response())
+    moved = engine_list_event(2, full=False, a="up")
     moved.addresses["a"] = ("127.0.0.1", 5000)
     for engine in network.directory.update(moved):
         network.pools.close_idle(engine)
-    assert network.links[0].transport.aborted
+    assert network.connections[0].transport.aborted
     network.call("two")
-    assert network.links[1].address == ("127.0.0.1", 5000)
+    assert network.connections[1].address == ("127.0.0.1", 5000)
 
 
 def test_connection_in_use_during_a_change_of_address_is_not_reused() -> None:
     network = CallRecorder()
     network.call("one")
-    link = network.links[0].up()
-    moved = news(2, full=False, a="up")
+    connection = network.connections[0].accept()
+    moved = engine_list_event(2, full=False, a="up")
     moved.addresses["a"] = ("127.0.0.1", 5000)
     network.directory.update(moved)
-    link.say(answer())
+    connection.send(http_response())
     assert network.outcomes == {"one": 200}
-    assert link.transport.aborted
+    assert connection.transport.aborted
 
 
 def test_idle_connection_is_closed_before_the_engine_closes_it() -> None:
     network = CallRecorder()
     network.call("one")
-    link = network.links[0].up()
-    link.say(answer())
+    connection = network.connections[0].accept()
+    connection.send(http_response())
     for _ in range(9):
-        network.turn(1.0)
-    assert link.transport.aborted
+        network.advance(1.0)
+    assert connection.transport.aborted
     assert network.pools.open_connections == 0
 
 
 def test_idle_connection_that_receives_data_is_aborted() -> None:
     network = CallRecorder()
     network.call("one")
-    link = network.links[0].up()
-    link.say(answer())
-    link.say(answer())
-    assert link.transport.aborted
+    connection = network.connections[0].accept()
+    connection.send(http_response())
+    connection.send(http_response())
+    assert connection.transport.aborted
 
 
 def test_sent_call_holds_no_reference_to_its_caller() -> None:
     """Otherwise each attempt is a cycle that only a garbage collection frees, which stalls the front."""
     network = CallRecorder()
     call = network.call("one", should_send=lambda: True)
-    network.links[0].up()
+    network.connections[0].accept()
     assert call.should_send is None
 
 
 def test_pools_without_an_idle_timeout_start_no_sweep() -> None:
-    network = EngineSide()
+    network = EngineHarness()
     pools = EngineConnectionPools(
         network.clock, network.directory, network.counters, 1, 0.25, engine_idle_timeout=0.0
     )
--- a/tests/test_exchange.py
+++ b/tests/test_exchange.py
@@ -12,7 +12,7 @@
 from micahold.routing.exchange import Exchange
 from micahold.transport.clients import UnusableQueryError
 from tests import build
-from tests.network import PAGE, EngineSide, answer, news
+from tests.network import PAGE, EngineHarness, engine_list_event, http_response
 
 SETTINGS = build.settings(report_columns=("rif", "busy"))
 
@@ -49,7 +49,7 @@
         self.answers.append(("failed", text))
 
 
-class World(EngineSide):
+class World(EngineHarness):
     """An exchange with engines ``a`` and ``b`` listed."""
 
     def __init__(self) -> None:
@@ -68,8 +68,8 @@
             self.at_turn_end,
             self.decider,
         )
-        self.exchange.list_changed(news(a="up", b="up"))
-        self.turn()
+        self.exchange.list_changed(engine_list_event(a="up", b="up"))
+        self.advance()
 
     def log(self, event: str, **fields: Any) -> None:
         self.logged.append((event, fields))
@@ -88,13 +88,13 @@
     def want(self, *actions: api.Action) -> None:
         """The answer to the next batch, which news that hold nothing bring about."""
         self.decisions.wanted = list(actions)
-        self.exchange.list_changed(news(2, full=False))
-        self.turn()
+        self.exchange.list_changed(engine_list_event(2, full=False))
+        self.advance()
 
     def ask(self, number: int = 1, **changes: str) -> tuple[int, Client]:
         client = Client()
         ticket = self.exchange.submit(query(number, **changes), client)
-        self.turn()
+        self.advance()
         return ticket, client
 
     def last(self) -> api.Event:
@@ -130,7 +130,7 @@
     world = World()
     for number in range(3):
         world.exchange.submit(query(number), Client())
-    world.turn()
+    world.advance()
     assert [len(batch) for batch in world.decisions.batches] == [1, 3]
 
 
@@ -141,7 +141,7 @@
     world = World()
     with pytest.raises(UnusableQueryError):
         world.exchange.submit(query(1, **changes), Client())
-    world.turn()
+    world.advance()
     assert len(world.decisions.batches) == 1
     assert world.exchange.unanswered == 0
 
@@ -159,9 +159,9 @@
     world = World()
     ticket, client = world.ask()
     world.want(api.Send(ticket, "a"))
-    world.links[0].up().say(answer(200, PAGE, X_Sheets="1", Srv_Load="inflight:7;util:0.5"))
+    world.connections[0].accept().send(http_response(200, PAGE, X_Sheets="1", Srv_Load="inflight:7;util:0.5"))
     assert [kind for kind, _ in client.answers] == ["served"]
-    world.turn()
+    world.advance()
     event = world.last()
     assert isinstance(event, api.AttemptEnded)
     assert (event.query, event.attempt, event.engine, event.outcome) == (ticket, 0, "a", api.Outcome.OK)
@@ -194,8 +194,8 @@
     world = World()
     ticket, _ = world.ask()
     world.want(api.Send(ticket, "a"))
-    world.links[0].up().say(answer(202))
-    world.turn()
+    world.connections[0].accept().send(http_response(202))
+    world.advance()
     assert world.last() == api.AttemptStatus(ticket, 0, "a", api.AttemptStatusKind.ALIVE)
 
 
@@ -203,13 +203,13 @@
     world = World()
     ticket, client = world.ask()
     world.want(api.Send(ticket, "a"))
-    world.links[0].up().say(answer(500))
-    world.turn()
+    world.connections[0].accept().send(http_response(500))
+    world.advance()
     event = world.last()
     assert isinstance(event, api.AttemptEnded)
     assert (event.outcome, event.query_settled) == (api.Outcome.ERROR, False)
     world.want(api.Send(ticket, "b"))
-    world.links[1].up().say(answer(200, PAGE, X_Sheets="1"))
+    world.connections[1].accept().send(http_response(200, PAGE, X_Sheets="1"))
     assert [kind for kind, _ in client.answers] == ["served"]
 
 
@@ -219,10 +219,10 @@
     world.want(api.Send(ticket, "a"))
     world.exchange.drop(ticket)
     world.exchange.drop(ticket)
-    world.turn()
+    world.advance()
     assert world.last() == api.QueryDropped(ticket)
-    world.links[0].up().say(answer(200, PAGE, X_Sheets="1"))
-    world.turn()
+    world.connections[0].accept().send(http_response(200, PAGE, X_Sheets="1"))
+    world.advance()
     assert not client.answers
     assert not world.exchange.queries
 
@@ -231,11 +231,11 @@
     world = World()
     ticket, _ = world.ask()
     world.want(api.Send(ticket, "a"))
-    world.links[0].up()
+    world.connections[0].accept()
     world.want(api.Cancel(ticket, 0))
-    assert world.links[1].up().transport.sent().startswith(b"DELETE ")
-    world.links[1].say(answer(204))
-    world.turn()
+    assert world.connections[1].accept().transport.take_written().startswith(b"DELETE ")
+    world.connections[1].send(http_response(204))
+    world.advance()
     event = world.last()
     assert isinstance(event, api.AttemptEnded)
     assert event.outcome is api.Outcome.CANCELLED
@@ -245,9 +245,9 @@
     world = World()
     ticket, _ = world.ask()
     world.want(api.Send(ticket, "a", 999.0))
-    assert b"Via-Wait: 2000\r\n" in world.links[0].up().transport.sent()
-    world.turn(2.0)
-    world.turn()
+    assert b"Via-Wait: 2000\r\n" in world.connections[0].accept().transport.take_written()
+    world.advance(2.0)
+    world.advance()
     event = world.last()
     assert isinstance(event, api.AttemptEnded)
     assert event.outcome is api.Outcome.TIMEOUT
@@ -258,21 +258,21 @@
     ticket, _ = world.ask()
     for _ in range(SETTINGS.limits.max_attempts):
         world.want(api.Send(ticket, "a"))
-        world.links[-1].refuse()
-    world.turn()
-    made = len(world.links)
+        world.connections[-1].refuse()
+    world.advance()
+    made = len(world.connections)
     world.want(api.Send(ticket, "a"))
-    world.turn()
+    world.advance()
     event = world.last()
     assert isinstance(event, api.AttemptEnded)
     assert event.outcome is api.Outcome.NOT_STARTED
-    assert len(world.links) == made
+    assert len(world.connections) == made
 
 
 def test_the_wait_counts_from_when_the_query_may_have_come() -> None:
     world = World()
     world.exchange.submit(query(), Client(), waited=0.25)
-    world.turn()
+    world.advance()
     event = world.last()
     assert isinstance(event, api.QueryArrived)
     assert event.deadline == 1.75
@@ -293,10 +293,10 @@
     world = World()
     world.want(api.SetTimer(5, 0.5))
     batches = len(world.decisions.batches)
-    world.turn(0.4)
+    world.advance(0.4)
     assert len(world.decisions.batches) == batches
-    world.turn(0.2)
-    world.turn()
+    world.advance(0.2)
+    world.advance()
     assert world.last() == api.TimerFired(5)
 
 
@@ -304,19 +304,19 @@
     world = World()
     first, client = world.ask(1)
     world.want(api.Send(first, "a"))
-    link = world.links[0].up()
+    connection = world.connections[0].accept()
     world.decisions.error = RuntimeError("x")
     _, other = world.ask(2)
     assert [kind for kind, _ in client.answers] == ["failed"]
     assert [kind for kind, _ in other.answers] == ["failed"]
     assert "decisions_fault" in [event for event, _ in world.logged]
-    world.turn()
+    world.advance()
     assert len(world.made) == 2  # a new one, which is told the list
     update = world.decisions.batches[0][0]
     assert isinstance(update, api.ListUpdate)
     assert [entry.engine for entry in update.entries] == ["a", "b"]
-    link.say(answer(200, PAGE, X_Sheets="1"))
-    world.turn()
+    connection.send(http_response(200, PAGE, X_Sheets="1"))
+    world.advance()
     assert len(client.answers) == 1
     ticket, third = world.ask(3)
     world.want(api.Refuse(ticket))
@@ -333,11 +333,11 @@
 def test_a_query_that_the_decisions_forget_is_answered_within_the_slack() -> None:
     world = World()
     _, client = world.ask()
-    world.turn(2.0)
+    world.advance(2.0)
     assert not client.answers
-    world.turn(SETTINGS.rules.answer_slack_s + 0.001)
+    world.advance(SETTINGS.rules.answer_slack_s + 0.001)
     assert [kind for kind, _ in client.answers] == ["failed"]
-    world.turn()
+    world.advance()
     assert isinstance(world.last(), api.QueryDropped)
 
 
@@ -345,7 +345,7 @@
     world = World()
     tickets = [world.ask(number)[0] for number in range(1, 7)]
     world.want(api.Refuse(tickets[0]), api.Fail(tickets[1]), api.Send(tickets[2], "a"))
-    world.links[0].up().say(answer(200, PAGE, X_Sheets="1"))
+    world.connections[0].accept().send(http_response(200, PAGE, X_Sheets="1"))
     world.exchange.drop(tickets[3])
     counts = world.counters.values
     answered = counts["queries_served"] + counts["queries_refused"] + counts["queries_failed"]
@@ -358,10 +358,10 @@
     ticket, client = world.ask(1)
     _, other = world.ask(2)
     world.want(api.Send(ticket, "a"))
-    world.links[0].up()
+    world.connections[0].accept()
     world.exchange.give_up_all("server shutdown in progress")
     assert [client.answers, other.answers] == [[("failed", "server shutdown in progress")]] * 2
-    assert world.links[1].up().transport.sent().startswith(b"DELETE ")
+    assert world.connections[1].accept().transport.take_written().startswith(b"DELETE ")
 
 
 def test_a_wait_far_beyond_its_class_can_not_be_used() -> None:
@@ -377,11 +377,11 @@
     world = World()
     ticket, _ = world.ask(1)
     world.want(api.Send(ticket, "a"))
-    link = world.links[0].up()
+    connection = world.connections[0].accept()
     world.want(api.Refuse(ticket))
     with pytest.raises(UnusableQueryError):
         world.exchange.submit(query(1), Client())
-    link.say(answer(500))
+    connection.send(http_response(500))
     world.exchange.submit(query(1), Client())
 
 
@@ -390,26 +390,26 @@
     world = World()
     for number in range(300):
         name = f"a{number}"
-        world.exchange.list_changed(news(2 + number, full=False, **{name: "up"}))
+        world.exchange.list_changed(engine_list_event(2 + number, full=False, **{name: "up"}))
         ticket, client = world.ask(number + 1)
         world.want(api.Send(ticket, name))
-        link = world.links[-1].up()
+        connection = world.connections[-1].accept()
         if number % 3 == 0:
-            link.say(answer(200, PAGE, X_Sheets="1"))
+            connection.send(http_response(200, PAGE, X_Sheets="1"))
         elif number % 3 == 1:
-            link.lose()
+            connection.disconnect()
         else:
             world.exchange.drop(ticket)
             world.want(api.Cancel(ticket, 0))
-        world.exchange.list_changed(news(2 + number, full=False, **{name: "gone"}))
-        world.turn(0.1)
-        for one in world.links:
+        world.exchange.list_changed(engine_list_event(2 + number, full=False, **{name: "gone"}))
+        world.advance(0.1)
+        for one in world.connections:
             if one.protocol is None:
                 one.protocol = object()
                 one.time_out()
         assert len(client.answers) <= 1
     for _ in range(100):
-        world.turn(0.1)
+        world.advance(0.1)
     assert len(world.directory) == 2
     assert not world.exchange.queries and not world.exchange._ids
     assert set(world.exchange._entries) == {"a", "b"}
@@ -421,21 +421,21 @@
     world = World()
     ticket, client = world.ask(1, wait="9000")
     world.want(api.Send(ticket, "a"))
-    world.links[0].up()
+    world.connections[0].accept()
     world.exchange.close_within(1.0)
-    world.turn()
+    world.advance()
     by = world.clock.seconds() + 1.0
     closing = world.last()
     assert isinstance(closing, api.GatewayClosing) and closing.answer_by == by
     late, _ = world.ask(2, wait="9000")
     arrived = world.last()
     assert isinstance(arrived, api.QueryArrived) and arrived.query == late and arrived.deadline == by
-    world.turn(0.99)
+    world.advance(0.99)
     assert not [
         one for batch in world.decisions.batches for one in batch if isinstance(one, api.AttemptEnded)
     ]
-    world.turn(0.02)
-    world.turn()
+    world.advance(0.02)
+    world.advance()
     ended = world.last()
     assert isinstance(ended, api.AttemptEnded) and ended.outcome is api.Outcome.TIMEOUT
     assert not ended.query_settled and not client.answers  # the answer is the decisions'
--- a/tests/test_feeds.py
+++ b/tests/test_feeds.py
@@ -7,33 +7,37 @@
 from hypothesis import strategies as st
 
 from micahold import interface as api
-from micahold.protocol.engine_list import parse_address, parse_news
+from micahold.protocol.engine_list import parse_address, parse_list_event
 from micahold.protocol.errors import ProtocolError
-from micahold.protocol.event_stream import EventStream, ServerEvent
-from micahold.protocol.load_report import parse_load
+from micahold.protocol.event_stream import EventStreamParser, ServerSentEvent
+from micahold.protocol.load_report import parse_load_report
 
 STREAM = b": hello\n\nid: 41\r\ndata: one\r\n\r\nevent: x\ndata:two\rdata: three\r\rid:42\n\ndata: four\n\n"
-EVENTS = [ServerEvent(b"41", b"one"), ServerEvent(b"41", b"two\nthree"), ServerEvent(b"42", b"four")]
+EVENTS = [
+    ServerSentEvent(b"41", b"one"),
+    ServerSentEvent(b"41", b"two\nthree"),
+    ServerSentEvent(b"42", b"four"),
+]
 
 
 def test_events_are_read_from_every_split() -> None:
     for at in range(len(STREAM) + 1):
-        stream = EventStream()
+        stream = EventStreamParser()
         assert stream.feed(STREAM[:at]) + stream.feed(STREAM[at:]) == EVENTS
-    stream = EventStream()
+    stream = EventStreamParser()
     assert [one for at in range(len(STREAM)) for one in stream.feed(STREAM[at : at + 1])] == EVENTS
 
 
 def test_lines_and_events_are_bounded() -> None:
     with pytest.raises(ProtocolError):
-        EventStream(10).feed(b"data: " + b"x" * 20)
+        EventStreamParser(10).feed(b"data: " + b"x" * 20)
     with pytest.raises(ProtocolError):
-        EventStream(10).feed(b"data: 123456\ndata: 123456\n")
+        EventStreamParser(10).feed(b"data: 123456\ndata: 123456\n")
 
 
 @given(st.binary(max_size=100), st.integers(0, 100))
 def test_any_split_of_any_bytes_gives_the_same_events(data: bytes, at: int) -> None:
-    whole, split = EventStream(), EventStream()
+    whole, split = EventStreamParser(), EventStreamParser()
     assert split.feed(data[:at]) + split.feed(data[at:]) == whole.feed(data)
 
 
@@ -45,7 +49,7 @@
 
 
 def test_news_of_the_list() -> None:
-    news = parse_news(NEWS, ("west", "east"), ("std",))
+    news = parse_list_event(NEWS, ("west", "east"), ("std",))
     assert news.cursor == 41
     assert news.addresses == {"s-1": ("10.1.0.9", 4100)}
     assert news.update.kind is api.ListKind.CHANGES
@@ -56,7 +60,7 @@
 
 
 def test_a_whole_list_says_so() -> None:
-    news = parse_news(NEWS.replace(b"false", b"true"), (), ())
+    news = parse_list_event(NEWS.replace(b"false", b"true"), (), ())
     assert news.update.kind is api.ListKind.FULL
 
 
@@ -75,7 +79,7 @@
 )
 def test_news_that_cannot_be_read_are_an_error(data: bytes) -> None:
     with pytest.raises(ProtocolError):
-        parse_news(data, (), ())
+        parse_list_event(data, (), ())
 
 
 @pytest.mark.parametrize("text", ["", ":1", "host", "host:", "host:0", "host:65536", "host:x"])
@@ -86,7 +90,7 @@
 
 def test_load_reports_keep_what_the_settings_name() -> None:
     columns = ("rif", "busy", "x0")
-    assert parse_load(b"inflight:7;util:0.61;x0:0.5", columns) == {"rif": 7.0, "busy": 0.61, "x0": 0.5}
-    assert parse_load(b"rif:7; other:1;util:nan;x0;:3", columns) == {"rif": 7.0}
-    assert parse_load(None, columns) == {}
-    assert parse_load(b"\xff\xfe;=;::", columns) == {}
+    assert parse_load_report(b"inflight:7;util:0.61;x0:0.5", columns) == {"rif": 7.0, "busy": 0.61, "x0": 0.5}
+    assert parse_load_report(b"rif:7; other:1;util:nan;x0;:3", columns) == {"rif": 7.0}
+    assert parse_load_report(None, columns) == {}
+    assert parse_load_report(b"\xff\xfe;=;::", columns) == {}
--- a/tests/test_http_messages.py
+++ b/tests/test_http_messages.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from micahold.protocol.errors import ProtocolError
-from micahold.protocol.http_messages import MOST_HEAD, Answer, AnswerReader, encode_request
+from micahold.protocol.http_messages import MAX_HEAD_BYTES, HttpResponse, ResponseParser, encode_request
 
 SIZED = b"HTTP/1.1 200 OK\r\nX-Sheets: 2\r\nContent-Length: 5\r\n\r\nhello"
 EMPTY = b"HTTP/1.1 204 No Content\r\n\r\n"
@@ -17,8 +17,8 @@
 CHUNKED = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhe\r\n3;x=1\r\nllo\r\n0\r\nA: b\r\n\r\n"
 
 
-def read(parts: list[bytes]) -> list[Answer]:
-    reader = AnswerReader()
+def read(parts: list[bytes]) -> list[HttpResponse]:
+    reader = ResponseParser()
     return [one for part in parts if (one := reader.feed(part)) is not None]
 
 
@@ -29,12 +29,12 @@
     for at in range(len(data)):
         answers = read([data[:at], data[at:]])
         assert [one.body for one in answers] == [body]
-        assert answers[0].keeps_open
+        assert answers[0].keep_alive
     assert [one.body for one in read([data[at : at + 1] for at in range(len(data))])] == [body]
 
 
 def test_answers_follow_each_other_on_one_connection() -> None:
-    reader = AnswerReader()
+    reader = ResponseParser()
     for data, status in ((CHUNKED, 200), (SIZED, 200), (EMPTY, 204)):
         answer = reader.feed(data)
         assert answer is not None and answer.status == status
@@ -49,36 +49,36 @@
     for behind in (SIZED, b"noise", b"\0", b"HTTP/1.1 100 Continue\r\n\r\n"):
         for whole in (SIZED, CHUNKED, INTERIM):
             for at in range(len(whole)):
-                reader = AnswerReader()
+                reader = ResponseParser()
                 answer = reader.feed(whole[:at]) or reader.feed(whole[at:] + behind)
-                assert answer is not None and answer.body == b"hello" and not answer.keeps_open
+                assert answer is not None and answer.body == b"hello" and not answer.keep_alive
 
 
 def test_noise_is_told_before_a_head_could_end() -> None:
     for noise in (b"x", b"HTTQ", b"\x00" * 5, b"HTTP/2 200 OK"):
         with pytest.raises(ProtocolError):
-            AnswerReader().feed(noise)
+            ResponseParser().feed(noise)
 
 
 def test_a_body_without_size_ends_with_the_connection() -> None:
-    reader = AnswerReader()
+    reader = ResponseParser()
     assert reader.feed(b"HTTP/1.1 500 no\r\n\r\nhel") is None
     assert reader.feed(b"lo") is None
-    answer = reader.end()
-    assert answer is not None and answer.body == b"hello" and not answer.keeps_open
+    answer = reader.connection_closed()
+    assert answer is not None and answer.body == b"hello" and not answer.keep_alive
 
 
 @pytest.mark.parametrize("at", range(1, len(SIZED)))
 def test_a_connection_that_ends_within_a_sized_answer_gives_none(at: int) -> None:
-    reader = AnswerReader()
+    reader = ResponseParser()
     assert reader.feed(SIZED[:at]) is None
-    assert reader.end() is None
+    assert reader.connection_closed() is None
 
 
 @pytest.mark.parametrize("head", [b"Connection: close\r\n", b"connection: Close\r\n"])
 def test_connection_close_is_heeded(head: bytes) -> None:
     (answer,) = read([b"HTTP/1.1 200 OK\r\n" + head + b"Content-Length: 0\r\n\r\n"])
-    assert not answer.keeps_open
+    assert not answer.keep_alive
 
 
 @pytest.mark.parametrize(
@@ -89,7 +89,7 @@
         b"HTTP/1.1 200 OK\r\nno colon\r\n\r\n",
         b"HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\n",
         b"HTTP/1.1 200 OK\r\nContent-Length: 99999999\r\n\r\n",
-        b"HTTP/1.1 200 OK\r\n" + b"x" * (MOST_HEAD + 1),
+        b"HTTP/1.1 200 OK\r\n" + b"x" * (MAX_HEAD_BYTES + 1),
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n-1\r\n",
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nabc\r\n",
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + b"0" * 2000,
--- a/tests/test_mysql_protocol.py
+++ b/tests/test_mysql_protocol.py
@@ -10,24 +10,24 @@
 
 from micahold.protocol.errors import ProtocolError
 from micahold.protocol.mysql_handshake import (
-    CONNECT_WITH_DB,
-    PROTOCOL_41,
-    SECURE_CONNECTION,
-    SSL,
+    CLIENT_CONNECT_WITH_DB,
+    CLIENT_PROTOCOL_41,
+    CLIENT_SECURE_CONNECTION,
+    CLIENT_SSL,
     error_payload,
-    greeting,
-    parse_login,
+    handshake_payload,
+    parse_handshake_response,
 )
-from micahold.protocol.mysql_packets import PacketReader, encode_packet, length_encoded
-from micahold.protocol.mysql_results import FIRST_ROW, ResultRows
-from tests.mysql_client import login_payload, read_result
+from micahold.protocol.mysql_packets import PacketReader, encode_lenenc_int, encode_packet
+from micahold.protocol.mysql_results import FIRST_ROW_SEQUENCE_ID, ResultSetEncoder
+from tests.mysql_client import decode_result_set, handshake_response
 
 CELL = st.binary(max_size=300).map(lambda cell: cell.replace(b"\t", b" ").replace(b"\n", b" "))
 
 
 def read_all(reader: PacketReader) -> list[tuple[int, bytes]]:
     packets = []
-    while (packet := reader.next()) is not None:
+    while (packet := reader.next_packet()) is not None:
         packets.append(packet)
     return packets
 
@@ -41,14 +41,14 @@
             reader.feed(part)
             got += read_all(reader)
         assert got == sent
-        assert reader.kept == 0
+        assert reader.buffered_bytes == 0
 
 
 def test_a_packet_larger_than_allowed_is_told_from_its_head() -> None:
     reader = PacketReader(10, 100)
     reader.feed((11).to_bytes(3, "little") + b"\0")
     with pytest.raises(ProtocolError):
-        reader.next()
+        reader.next_packet()
 
 
 def test_what_is_sent_ahead_is_bounded() -> None:
@@ -58,21 +58,21 @@
 
 
 def test_login_without_database_and_with() -> None:
-    assert parse_login(login_payload(b"app", b"dw")).database == b"dw"
-    assert parse_login(login_payload(b"app", b"")).user == b"app"
+    assert parse_handshake_response(handshake_response(b"app", b"dw")).database == b"dw"
+    assert parse_handshake_response(handshake_response(b"app", b"")).user == b"app"
 
 
-@pytest.mark.parametrize("flags", [0, PROTOCOL_41 | SSL])
+@pytest.mark.parametrize("flags", [0, CLIENT_PROTOCOL_41 | CLIENT_SSL])
 def test_login_of_another_protocol_or_with_encryption_is_refused(flags: int) -> None:
     with pytest.raises(ProtocolError):
-        parse_login(flags.to_bytes(4, "little") + bytes(28) + b"app\0\0")
+        parse_handshake_response(flags.to_bytes(4, "little") + bytes(28) + b"app\0\0")
 
 
 def test_a_login_that_is_cut_short_anywhere_never_gives_another_user() -> None:
-    whole = login_payload(b"app", b"dw", password=b"secret")
+    whole = handshake_response(b"app", b"dw", password=b"secret")
     for at in range(len(whole)):
         try:
-            login = parse_login(whole[:at])
+            login = parse_handshake_response(whole[:at])
         except ProtocolError:
             continue
         assert login.user == b"app"
@@ -81,14 +81,14 @@
 
 @given(st.binary(max_size=200))
 def test_any_login_is_read_or_refused(payload: bytes) -> None:
-    flags = PROTOCOL_41 | SECURE_CONNECTION | CONNECT_WITH_DB
+    flags = CLIENT_PROTOCOL_41 | CLIENT_SECURE_CONNECTION | CLIENT_CONNECT_WITH_DB
     for data in (payload, flags.to_bytes(4, "little") + payload):
         with contextlib.suppress(ProtocolError):
-            parse_login(data)
+            parse_handshake_response(data)
 
 
 def test_greeting_holds_the_connection_id() -> None:
-    payload = greeting(0x01020304, b"s" * 20)
+    payload = handshake_payload(0x01020304, b"s" * 20)
     start = payload.index(b"\0") + 1
     assert payload[start : start + 4] == bytes((4, 3, 2, 1))
 
@@ -101,7 +101,7 @@
 
 @pytest.mark.parametrize("value", [0, 250, 251, 65535, 65536, 0xFFFFFF, 0x1000000])
 def test_lengths_take_the_shortest_form(value: int) -> None:
-    data = length_encoded(value)
+    data = encode_lenenc_int(value)
     size = {0xFC: 2, 0xFD: 3, 0xFE: 8}.get(data[0], 0)
     assert len(data) == 1 + size
     assert (int.from_bytes(data[1:], "little") if size else data[0]) == value
@@ -109,28 +109,28 @@
 
 @given(st.lists(st.lists(st.tuples(CELL, CELL, CELL), max_size=4), max_size=4))
 def test_rows_come_out_as_the_bytes_that_came(pages: list[list[tuple[bytes, bytes, bytes]]]) -> None:
-    rows = ResultRows()
+    rows = ResultSetEncoder()
     for page in pages:
         rows.add_page(b"".join(b"\t".join(row) + b"\n" for row in page))
-    assert read_result(rows.answer()) == [row for page in pages for row in page]
+    assert decode_result_set(rows.finish()) == [row for page in pages for row in page]
 
 
 def test_sequence_numbers_go_on_past_255() -> None:
-    rows = ResultRows()
+    rows = ResultSetEncoder()
     rows.add_page(b"a\tNULL\t\\N\n" * 600)
     reader = PacketReader(1 << 20, 1 << 22)
-    reader.feed(rows.answer())
+    reader.feed(rows.finish())
     numbers = [number for number, _ in read_all(reader)]
-    assert numbers == [number % 256 for number in range(1, FIRST_ROW + 600 + 1)]
+    assert numbers == [number % 256 for number in range(1, FIRST_ROW_SEQUENCE_ID + 600 + 1)]
 
 
 @pytest.mark.parametrize("page", [b"a\tb\tc", b"a\tb\n", b"a\tb\tc\td\n", b"\n", b"a\tb\tc\nx"])
 def test_a_page_that_is_not_whole_rows_of_three_is_not_read(page: bytes) -> None:
     with pytest.raises(ProtocolError):
-        ResultRows().add_page(page)
+        ResultSetEncoder().add_page(page)
 
 
 def test_an_empty_result_is_a_head_and_an_end() -> None:
-    rows = ResultRows()
+    rows = ResultSetEncoder()
     rows.add_page(b"")
-    assert read_result(rows.answer()) == []
+    assert decode_result_set(rows.finish()) == []
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -19,8 +19,8 @@
 from micahold.program.log import MAX_BUFFERED_BYTES, Log
 from micahold.settings import FormatError
 from micahold.transport.timers import MAX_CANCELLED_TIMERS, TimerQueue
-from tests.mysql_client import ask, login, packets
-from tests.network import Network, Transport
+from tests.mysql_client import decode_packets, login_packet, query_with_fields
+from tests.network import MemoryNetwork, MemoryTransport
 from tests.standins import configuration
 
 # Configuration
@@ -178,7 +178,7 @@
         self.callLater(0, act)
 
 
-class Run(Network):
+class Run(MemoryNetwork):
     """A front that has started, its log and whether it has stopped."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
@@ -196,7 +196,7 @@
             self.stop,
         )
         self.front.start()
-        self.turn()
+        self.advance()
 
     def stop(self) -> None:
         self.stopped = True
@@ -204,16 +204,16 @@
     def phases(self) -> list[str]:
         return [fields["phase"] for event, fields in self.logged if event == "phase"]
 
-    def client(self) -> tuple[Any, Transport]:
-        session, transport = self.front.sessions.buildProtocol(None), Transport()
+    def client(self) -> tuple[Any, MemoryTransport]:
+        session, transport = self.front.sessions.buildProtocol(None), MemoryTransport()
         session.makeConnection(transport)
-        session.dataReceived(login())
+        session.dataReceived(login_packet())
         transport.clear()
         return session, transport
 
     def pass_time(self, seconds: float) -> None:
         for _ in range(round(seconds / 0.01)):
-            self.turn(0.01)
+            self.advance(0.01)
 
 
 class RecordingLog:
@@ -246,20 +246,22 @@
     run.front.begin_shutdown()
     run.pass_time(NOTICE_PERIOD_S / 2)
     session, transport = run.client()
-    session.dataReceived(ask(wait=8000))
+    session.dataReceived(query_with_fields(wait=8000))
     run.pass_time(NOTICE_PERIOD_S)
     assert not run.stopped
     assert run.front.phase is Phase.DRAINING
     run.pass_time(3.0)
     assert run.stopped
-    assert packets(transport.sent())[0][1][0] == 0xFF  # no engine answered: it is told so before the end
+    assert (
+        decode_packets(transport.take_written())[0][1][0] == 0xFF
+    )  # no engine answered: it is told so before the end
 
 
 def test_it_ends_as_soon_as_all_is_answered(monkeypatch: pytest.MonkeyPatch) -> None:
     run = Run(monkeypatch)
     session, _ = run.client()
-    session.dataReceived(ask(wait=60000))
-    run.turn()
+    session.dataReceived(query_with_fields(wait=60000))
+    run.advance()
     run.front.begin_shutdown()
     run.pass_time(NOTICE_PERIOD_S + 0.1)
     assert not run.stopped
@@ -270,8 +272,8 @@
 
 def test_a_list_event_that_cannot_be_read_is_logged(monkeypatch: pytest.MonkeyPatch) -> None:
     run = Run(monkeypatch)
-    link = run.links[0].up()
-    link.say(b"HTTP/1.1 200 OK\r\n\r\nid: 9\ndata: {}\n\n")
+    link = run.connections[0].accept()
+    link.send(b"HTTP/1.1 200 OK\r\n\r\nid: 9\ndata: {}\n\n")
     assert "list_event_unreadable" in [event for event, _ in run.logged]
     assert link.transport.aborted  # it is asked for once more, in case it was spoilt on its way
 
--- a/tests/test_query_fields.py
+++ b/tests/test_query_fields.py
@@ -9,8 +9,8 @@
 from hypothesis import strategies as st
 
 from micahold.protocol.errors import ProtocolError
-from micahold.protocol.query_fields import kill_target, parse_query
-from micahold.protocol.table_group import read_table_group, table_group
+from micahold.protocol.query_fields import parse_kill_query, parse_query
+from micahold.protocol.table_group import find_table_group, scan_table_group
 
 FIELDS = b"class=report,id=9b1f03aa5c7e2d41,wait=1500,tenant=acme,once=5c0f6e1a,cost=820.0,mb=96"
 
@@ -20,14 +20,24 @@
     read = parse_query(b"/* " + FIELDS + b" */ " + statement)
     assert read.statement == statement
     assert (read.id, read.class_name, read.tenant) == (b"9b1f03aa5c7e2d41", b"report", b"acme")
-    assert (read.token, read.wait, read.cost, read.memory_mb) == (b"5c0f6e1a", 1.5, 0.82, 96.0)
-    assert (read.tables, read.is_write) == (17, False)
+    assert (read.token, read.wait_s, read.estimated_cost_s, read.estimated_memory_mb) == (
+        b"5c0f6e1a",
+        1.5,
+        0.82,
+        96.0,
+    )
+    assert (read.table_group, read.is_write) == (17, False)
 
 
 def test_estimates_tenant_and_token_may_be_absent() -> None:
     read = parse_query(b"/*id=9b1f03aa5c7e2d41,wait=1,class=a*/INSERT INTO x_2.t SELECT 1")
-    assert (read.tenant, read.token, read.cost, read.memory_mb) == (None, None, None, None)
-    assert (read.tables, read.is_write) == (2, True)
+    assert (read.tenant, read.token, read.estimated_cost_s, read.estimated_memory_mb) == (
+        None,
+        None,
+        None,
+        None,
+    )
+    assert (read.table_group, read.is_write) == (2, True)
 
 
 @pytest.mark.parametrize(
@@ -92,7 +102,7 @@
     ],
 )
 def test_kill_query_names_a_connection(text: bytes, target: int | None) -> None:
-    assert kill_target(text) == target
+    assert parse_kill_query(text) == target
 
 
 @pytest.mark.parametrize(
@@ -132,8 +142,8 @@
     ],
 )
 def test_table_group(statement: bytes, group: int) -> None:
-    assert table_group(statement) == group
-    assert read_table_group(statement) == group
+    assert find_table_group(statement) == group
+    assert scan_table_group(statement) == group
 
 
 WORDS = st.sampled_from(
@@ -157,4 +167,4 @@
 @given(st.lists(WORDS, max_size=12))
 def test_the_usual_statement_is_read_alike_at_one_go_and_token_by_token(words: list[bytes]) -> None:
     statement = b"SELECT x " + b" ".join(words)
-    assert table_group(statement) == read_table_group(statement)
+    assert find_table_group(statement) == scan_table_group(statement)
