--- a/micahold/protocol/__init__.py
+++ b/micahold/protocol/__init__.py
@@ -1,1 +1,1 @@
-"""Parsers and encoders of the project's own, without I/O: fed bytes in any split, sizes bounded."""
+"""Parsers and encoders without I/O: they accept input in any split and bound the data that they buffer."""
--- a/micahold/protocol/errors.py
+++ b/micahold/protocol/errors.py
@@ -1,7 +1,7 @@
-"""What a parser raises on input that is not of its protocol."""
+"""The error that the parsers of this package raise."""
 
 from __future__ import annotations
 
 
 class ProtocolError(ValueError):
-    """Input that can't be read; the text names what is wrong."""
+    """Input that violates its protocol or exceeds a size limit; the text names the violation."""
--- a/micahold/protocol/query_fields.py
+++ b/micahold/protocol/query_fields.py
@@ -1,4 +1,7 @@
-"""The fields in the comment ahead of a statement, and the statement that passes on unchanged."""
+"""Parses the text of a COM_QUERY: the fields in its leading comment, and the statement that engines receive.
+
+The texts of the errors are sent to clients and become names of counters.
+"""
 
 from __future__ import annotations
 
@@ -9,17 +12,24 @@
 from micahold.protocol.errors import ProtocolError
 from micahold.protocol.table_group import find_table_group, has_multiple_statements
 
-ID = re.compile(rb"[0-9a-f]{16}")
-WORD = re.compile(rb"[!-~]{1,200}")
-NUMBER = re.compile(rb"[0-9]{1,12}(\.[0-9]{1,12})?")
-KILL = re.compile(rb"\s*KILL\s+QUERY\s+([0-9]{1,20})\s*;?\s*", re.IGNORECASE)
-MOST_COST_MS, MOST_MB = 1e8, 1e8  # a day of one core, a hundred TB: no estimate is beyond that
-WRITES = (b"INSERT", b"UPDATE", b"DELETE", b"REPLACE", b"LOAD", b"MERGE", b"CREATE", b"TRUNCATE")
+QUERY_ID = re.compile(rb"[0-9a-f]{16}")
+VISIBLE_ASCII = re.compile(rb"[!-~]{1,200}")
+DECIMAL_NUMBER = re.compile(rb"[0-9]{1,12}(\.[0-9]{1,12})?")
+KILL_QUERY = re.compile(rb"\s*KILL\s+QUERY\s+([0-9]{1,20})\s*;?\s*", re.IGNORECASE)
+# About a day on one core; no estimate is higher.
+MAX_COST_MS = 1e8
+# 100 TB; no estimate is higher.
+MAX_MEMORY_MB = 1e8
+WRITE_VERBS = (b"INSERT", b"UPDATE", b"DELETE", b"REPLACE", b"LOAD", b"MERGE", b"CREATE", b"TRUNCATE")
 
 
 @dataclass(slots=True)
 class ClientQuery:
-    """A query as its client sent it: what decisions need is taken out, the rest stays bytes."""
+    """A query as received from its client.
+
+    The fields that the decisions need are decoded; ids, names, token and statement remain bytes and are
+    passed on unchanged. ``table_group`` and ``is_write`` are derived from the statement.
+    """
 
     id: bytes
     class_name: bytes
@@ -34,68 +44,75 @@
 
 
 def parse_kill_query(text: bytes) -> int | None:
-    """The connection id that a KILL QUERY names."""
-    found = KILL.fullmatch(text)
-    return int(found[1]) if found else None
+    """Returns the connection id of a KILL QUERY statement, or None for any other text."""
+    match = KILL_QUERY.fullmatch(text)
+    return int(match[1]) if match else None
 
 
-def _fields(comment: bytes) -> dict[bytes, bytes]:
+def _split_fields(comment: bytes) -> dict[bytes, bytes]:
+    """Splits ``name=value,...`` into a dictionary; a repeated name is an error."""
     fields: dict[bytes, bytes] = {}
     for part in comment.split(b","):
-        name, sign, value = part.strip().partition(b"=")
-        if not sign or name in fields:
+        name, separator, value = part.strip().partition(b"=")
+        if not separator or name in fields:
             raise ProtocolError("fields that can't be read")
         fields[name] = value
     return fields
 
 
-def _number(fields: dict[bytes, bytes], name: bytes, most: float = inf) -> float | None:
+def _parse_number(fields: dict[bytes, bytes], name: bytes, maximum: float = inf) -> float | None:
+    """Returns a field as a number of at most ``maximum``; None if the field is absent."""
     value = fields.get(name)
     if value is None:
         return None
-    if not NUMBER.fullmatch(value):
+    if not DECIMAL_NUMBER.fullmatch(value):
         raise ProtocolError(f"field {name.decode()} is not a number")
-    figure = float(value)
-    if figure > most:
+    number = float(value)
+    if number > maximum:
         raise ProtocolError(f"field {name.decode()} is out of range")
-    return figure
+    return number
 
 
-def _word(fields: dict[bytes, bytes], name: bytes) -> bytes | None:
-    """A text that can stand in a header line as it came."""
+def _parse_visible_ascii(fields: dict[bytes, bytes], name: bytes) -> bytes | None:
+    """Returns a field that is safe to copy into an HTTP header line; None if the field is absent."""
     value = fields.get(name)
-    if value is not None and not WORD.fullmatch(value):
+    if value is not None and not VISIBLE_ASCII.fullmatch(value):
         raise ProtocolError(f"field {name.decode()} can't be used")
     return value
 
 
 def parse_query(text: bytes) -> ClientQuery:
-    """Fields and statement of a COM_QUERY."""
-    head = text.lstrip()
-    end = head.find(b"*/")
-    if not head.startswith(b"/*") or end < 0:
+    """Parses the text of a COM_QUERY: a comment with fields, then exactly one statement.
+
+    Raises ``ProtocolError`` if a field is missing or invalid, or if there is not exactly one statement.
+    """
+    stripped_text = text.lstrip()
+    comment_end = stripped_text.find(b"*/")
+    if not stripped_text.startswith(b"/*") or comment_end < 0:
         raise ProtocolError("no fields ahead of the statement")
-    fields = _fields(head[2:end])
-    statement = head[end + 2 :].removeprefix(b" ")
-    number, class_name, wait = fields.get(b"id", b""), _word(fields, b"class"), _number(fields, b"wait")
-    if not ID.fullmatch(number):
+    fields = _split_fields(stripped_text[2:comment_end])
+    statement = stripped_text[comment_end + 2 :].removeprefix(b" ")
+    query_id = fields.get(b"id", b"")
+    class_name = _parse_visible_ascii(fields, b"class")
+    wait_ms = _parse_number(fields, b"wait")
+    if not QUERY_ID.fullmatch(query_id):
         raise ProtocolError("field id is missing or can't be used")
-    if class_name is None or wait is None:
+    if class_name is None or wait_ms is None:
         raise ProtocolError("field class or wait is missing")
     if not statement.strip():
         raise ProtocolError("no statement")
     if has_multiple_statements(statement):
-        raise ProtocolError("more than one statement")  # not offered in the greeting
-    cost = _number(fields, b"cost", MOST_COST_MS)
+        raise ProtocolError("more than one statement")  # the handshake does not offer CLIENT_MULTI_STATEMENTS
+    cost_ms = _parse_number(fields, b"cost", MAX_COST_MS)
     return ClientQuery(
-        id=number,
+        id=query_id,
         class_name=class_name,
-        wait_s=wait / 1000,
-        tenant=_word(fields, b"tenant"),
-        token=_word(fields, b"once"),
-        estimated_cost_s=None if cost is None else cost / 1000,
-        estimated_memory_mb=_number(fields, b"mb", MOST_MB),
+        wait_s=wait_ms / 1000,
+        tenant=_parse_visible_ascii(fields, b"tenant"),
+        token=_parse_visible_ascii(fields, b"once"),
+        estimated_cost_s=None if cost_ms is None else cost_ms / 1000,
+        estimated_memory_mb=_parse_number(fields, b"mb", MAX_MEMORY_MB),
         statement=statement,
         table_group=find_table_group(statement),
-        is_write=statement.lstrip()[:8].upper().startswith(WRITES),
+        is_write=statement.lstrip()[:8].upper().startswith(WRITE_VERBS),
     )
--- a/micahold/protocol/table_group.py
+++ b/micahold/protocol/table_group.py
@@ -1,111 +1,130 @@
-"""What is read out of a statement: its group of tables, from a schema's name, and whether it is one alone."""
+"""Reads two properties of an SQL statement: its table group, and whether it holds further statements.
+
+The table group is the number at the end of a schema's name: the tables of ``sales_17`` belong to group 17.
+"""
 
 from __future__ import annotations
 
 import re
 
 NO_GROUP = 0
-UNCOUNTED = b"staging"  # the schema that is in no group
+# A schema whose tables belong to no group.
+UNGROUPED_SCHEMA = b"staging"
 
-# Strings and comments are passed over whole; an unfinished one runs to the end of the statement.
+# Tokens of SQL. Strings and comments match as a whole and have no group name; one without an end extends to
+# the end of the statement.
 TOKEN = re.compile(
     rb"""'(?:[^'\\]|\\.|'')*(?:'|\Z) | "(?:[^"\\]|\\.|"")*(?:"|\Z)
     | /\*.*?(?:\*/|\Z) | \#[^\n]* | --(?=[\s]|\Z)[^\n]*
     | (?P<quoted>`(?:[^`]|``)*`) | (?P<word>[A-Za-z0-9_$\x80-\xff]+) | (?P<sign>[.,()]) | (?P<other>[^\s])""",
     re.VERBOSE | re.DOTALL,
 )
-GROUP = re.compile(rb"_([0-9]{1,9})\Z")
-
-TABLE_FOLLOWS = frozenset((b"FROM", b"JOIN", b"INTO", b"TABLE", b"STRAIGHT_JOIN"))
-VERBS_OF_TABLES = frozenset((b"INSERT", b"REPLACE", b"UPDATE", b"TRUNCATE"))
-VERBS = VERBS_OF_TABLES | {b"SELECT", b"DELETE", b"CREATE", b"LOAD", b"MERGE"}
+GROUP_SUFFIX = re.compile(rb"_([0-9]{1,9})\Z")
+
+# Keywords that a table name or a list of tables follows.
+TABLE_KEYWORDS = frozenset((b"FROM", b"JOIN", b"INTO", b"TABLE", b"STRAIGHT_JOIN"))
+# Verbs that a table name may follow directly.
+TABLE_VERBS = frozenset((b"INSERT", b"REPLACE", b"UPDATE", b"TRUNCATE"))
+VERBS = TABLE_VERBS | {b"SELECT", b"DELETE", b"CREATE", b"LOAD", b"MERGE"}
+# Words that may stand between such a keyword or verb and the table name.
 MODIFIERS = frozenset((b"LOW_PRIORITY", b"HIGH_PRIORITY", b"DELAYED", b"QUICK", b"IGNORE", b"LATERAL"))
-LIST_ENDS = frozenset(b"WHERE GROUP ORDER HAVING LIMIT SET ON USING UNION VALUES SELECT".split())
+# Keywords that end a list of tables.
+TABLE_LIST_TERMINATORS = frozenset(b"WHERE GROUP ORDER HAVING LIMIT SET ON USING UNION VALUES SELECT".split())
 
 
-# The usual statement at one go: plain words and brackets without brackets in them, up to the first table.
-USUAL = re.compile(
+# Matches the common forms of a statement up to the schema of its first table: plain words, and parentheses
+# that are not nested.
+COMMON_STATEMENT = re.compile(
     rb"\s*(?:(?:SELECT|DELETE)\b(?:[\w$.,*=<>\s]|\([\w$.,*=<>\s]*\))*?\sFROM|INSERT\s+INTO|UPDATE)"
     rb"\s+(\w+)\.\w",
     re.IGNORECASE,
 )
 
 
-def _schema_group(name: bytes) -> int | None:
-    found = GROUP.search(name)
-    return int(found[1]) if found and name.lower() != UNCOUNTED else None
+def _schema_group(schema: bytes) -> int | None:
+    """Returns the group in a schema's name, or None if it has none."""
+    match = GROUP_SUFFIX.search(schema)
+    return int(match[1]) if match and schema.lower() != UNGROUPED_SCHEMA else None
 
 
 def find_table_group(statement: bytes) -> int:
-    """The group of the first table named where tables stand; ``NO_GROUP`` where none is."""
-    usual = USUAL.match(statement)
-    group = _schema_group(usual[1]) if usual else None
+    """Returns the group of the first table reference that has one, or ``NO_GROUP``.
+
+    One regular expression handles the common forms; ``scan_table_group`` handles all others.
+    """
+    common_match = COMMON_STATEMENT.match(statement)
+    group = _schema_group(common_match[1]) if common_match else None
     return scan_table_group(statement) if group is None else group
 
 
 def scan_table_group(statement: bytes) -> int:
-    """As ``find_table_group``, token by token.
+    """Computes the result of ``find_table_group`` token by token.
 
-    Only names behind FROM, JOIN, INTO, TABLE or a leading UPDATE or INSERT count: ``t_3.day`` in a list
-    of columns is an alias, and FROM inside EXTRACT(...) or TRIM(...) names a column.
+    Only names that follow FROM, JOIN, INTO, TABLE or a leading verb such as UPDATE or INSERT are table
+    references: ``t_3.day`` in a select list uses an alias, and FROM within EXTRACT(...) or TRIM(...) precedes
+    a column.
     """
-    verb_at = [False]  # by depth of brackets: whether a verb stands there, so that FROM means tables
-    expects = [False]  # by depth: the next name is a table's
-    in_list = [False]  # by depth: a comma leads to a further table
-    names: list[bytes] = []  # the parts so far of the dotted name being read
-    dotted = False
+    # State by depth of parentheses.
+    has_verb = [False]  # a verb has occurred at this depth, so FROM introduces tables
+    expects_table = [False]  # the next name is a table reference
+    in_table_list = [False]  # a comma introduces another table reference
+    name_parts: list[bytes] = []  # parts of the dotted name being read
+    after_dot = False
     for token in TOKEN.finditer(statement):
         kind = token.lastgroup
         if kind is None or kind == "other":
             continue
         text = token[0]
-        if kind == "sign" and text == b"." and names:
-            dotted = True
+        if kind == "sign" and text == b"." and name_parts:
+            after_dot = True
             continue
         if kind != "sign":
             name = text[1:-1].replace(b"``", b"`") if kind == "quoted" else text
-            if dotted:
-                names.append(name)
-                dotted = False
-                group = _schema_group(names[0])
-                if group is not None and len(names) == 2:
+            if after_dot:
+                name_parts.append(name)
+                after_dot = False
+                group = _schema_group(name_parts[0])
+                if group is not None and len(name_parts) == 2:
                     return group
                 continue
-            names = []
-            upper = b"" if kind == "quoted" else text.upper()
-            leads = upper in VERBS and not verb_at[-1]  # FOR UPDATE and the function REPLACE lead nothing
-            verb_at[-1] = verb_at[-1] or leads
-            if (leads and upper in VERBS_OF_TABLES) or (upper in TABLE_FOLLOWS and verb_at[-1]):
-                expects[-1] = in_list[-1] = True
-            elif upper in LIST_ENDS:
-                expects[-1] = in_list[-1] = False
-            elif expects[-1] and upper not in MODIFIERS:
-                names, expects[-1] = [name], False
+            name_parts = []
+            keyword = b"" if kind == "quoted" else text.upper()
+            # UPDATE in FOR UPDATE and the function REPLACE follow a verb and introduce no table.
+            is_leading_verb = keyword in VERBS and not has_verb[-1]
+            has_verb[-1] = has_verb[-1] or is_leading_verb
+            if (is_leading_verb and keyword in TABLE_VERBS) or (keyword in TABLE_KEYWORDS and has_verb[-1]):
+                expects_table[-1] = in_table_list[-1] = True
+            elif keyword in TABLE_LIST_TERMINATORS:
+                expects_table[-1] = in_table_list[-1] = False
+            elif expects_table[-1] and keyword not in MODIFIERS:
+                name_parts = [name]
+                expects_table[-1] = False
             continue
-        names, dotted = [], False
+        name_parts = []
+        after_dot = False
         if text == b"(":
-            # FROM (a, b): the brackets hold a list of tables; FROM (SELECT ...): the verb ends that.
-            verb_at.append(False)
-            expects.append(expects[-1])
-            in_list.append(in_list[-1] and expects[-1])
-            expects[-2] = False
-        elif text == b")" and len(verb_at) > 1:
-            verb_at.pop()
-            expects.pop()
-            in_list.pop()
-        elif text == b"," and in_list[-1]:
-            expects[-1] = True
+            # FROM (a, b) holds a list of tables; in FROM (SELECT ...), the verb ends the list.
+            has_verb.append(False)
+            expects_table.append(expects_table[-1])
+            in_table_list.append(in_table_list[-1] and expects_table[-1])
+            expects_table[-2] = False
+        elif text == b")" and len(has_verb) > 1:
+            has_verb.pop()
+            expects_table.pop()
+            in_table_list.pop()
+        elif text == b"," and in_table_list[-1]:
+            expects_table[-1] = True
     return NO_GROUP
 
 
 def has_multiple_statements(statement: bytes) -> bool:
-    """Whether anything but blanks, comments and further semicolons follows a semicolon."""
+    """Whether a semicolon is followed by anything but white space, comments and further semicolons."""
     if b";" not in statement:
         return False
-    ended = False
+    after_semicolon = False
     for token in TOKEN.finditer(statement):
         if token.lastgroup == "other" and token[0] == b";":
-            ended = True
-        elif ended and not token[0].startswith((b"/*", b"#", b"--")):
+            after_semicolon = True
+        elif after_semicolon and not token[0].startswith((b"/*", b"#", b"--")):
             return True
     return False
