--- a/micahold/protocol/mysql_handshake.py
+++ b/micahold/protocol/mysql_handshake.py
@@ -42,7 +42,7 @@
     """What a client says of itself."""
 
     user: bytes
-    password: bytes
+    auth_response: bytes
     database: bytes
 
 
@@ -84,14 +84,14 @@
         end = at + 1 + payload[at] if at < len(payload) else at + 1
         if end > len(payload):
             raise ProtocolError("login cut short")
-        password, at = payload[at + 1 : end], end
+        auth_response, at = payload[at + 1 : end], end
     else:
-        password, at = _until_zero(payload, at)
+        auth_response, at = _until_zero(payload, at)
     database = b""
     if flags & CLIENT_CONNECT_WITH_DB and at < len(payload):
         end = payload.find(b"\0", at)
         database = payload[at : len(payload) if end < 0 else end]
-    return HandshakeResponse(user, password, database)
+    return HandshakeResponse(user, auth_response, database)
 
 
 def ok_payload() -> bytes:
--- a/micahold/transport/clients.py
+++ b/micahold/transport/clients.py
@@ -291,7 +291,7 @@
             self._send(error_payload(ER_HANDSHAKE_ERROR, str(error)))
             self._close()
             return
-        if login.user != USER or login.password:
+        if login.user != USER or login.auth_response:
             self._send(error_payload(ER_ACCESS_DENIED_ERROR, "Access denied"))
             self._close()
         elif login.database not in (b"", DATABASE):
--- a/tests/mysql_client.py
+++ b/tests/mysql_client.py
@@ -15,9 +15,9 @@
         super().__init__(f"{self.code} {self.text}")
 
 
-def handshake_response(user: bytes, database: bytes, password: bytes = b"") -> bytes:
+def handshake_response(user: bytes, database: bytes, auth_response: bytes = b"") -> bytes:
     head = FLAGS.to_bytes(4, "little") + (1 << 24).to_bytes(4, "little") + b"\x21" + bytes(23)
-    return head + user + b"\0" + bytes((len(password),)) + password + database + b"\0"
+    return head + user + b"\0" + bytes((len(auth_response),)) + auth_response + database + b"\0"
 
 
 def login_packet(user: bytes = b"app", database: bytes = b"dw") -> bytes:
--- a/tests/test_mysql_protocol.py
+++ b/tests/test_mysql_protocol.py
@@ -69,14 +69,14 @@
 
 
 def test_a_login_that_is_cut_short_anywhere_never_gives_another_user() -> None:
-    whole = handshake_response(b"app", b"dw", password=b"secret")
+    whole = handshake_response(b"app", b"dw", auth_response=b"secret")
     for at in range(len(whole)):
         try:
             login = parse_handshake_response(whole[:at])
         except ProtocolError:
             continue
         assert login.user == b"app"
-        assert login.password == b"secret"
+        assert login.auth_response == b"secret"
 
 
 @given(st.binary(max_size=200))
