--- a/micahold/protocol/engine_list.py
+++ b/micahold/protocol/engine_list.py
@@ -1,4 +1,4 @@
-"""Events of the command channel to news of the engine list."""
+"""Decodes events of the command channel into updates of the engine list."""
 
 from __future__ import annotations
 
@@ -11,12 +11,16 @@
 from micahold import interface as api
 from micahold.protocol.errors import ProtocolError
 
-STATES = {"Ready": api.EngineState.UP, "Terminating": api.EngineState.DRAINING, "Gone": api.EngineState.GONE}
+STATE_BY_PHASE = {
+    "Ready": api.EngineState.UP,
+    "Terminating": api.EngineState.DRAINING,
+    "Gone": api.EngineState.GONE,
+}
 
 
 @dataclass(slots=True, frozen=True)
 class EngineListEvent:
-    """One numbered event: what the decisions are told, and where the engines listen."""
+    """One numbered event: the update for the decisions, and the addresses of the engines that have one."""
 
     cursor: int
     update: api.ListUpdate
@@ -24,14 +28,15 @@
 
 
 def parse_address(text: str) -> tuple[str, int]:
-    host, sign, port = text.rpartition(":")
-    if not sign or not host or not port.isdigit() or not 0 < int(port) < 65536:
-        raise ProtocolError(f"bad address {text!r}")
+    """Splits ``host:port``; raises ``ProtocolError`` if the host is empty or the port is invalid."""
+    host, colon, port = text.rpartition(":")
+    if not colon or not host or not port.isdigit() or not 0 < int(port) < 65536:
+        raise ProtocolError(f"invalid address {text!r}")
     return host, int(port)
 
 
-def _place(names: tuple[str, ...], value: Any) -> int:
-    """Index of a zone or kind, told by name or number; one that is not known is past the last."""
+def _index_of(names: tuple[str, ...], value: Any) -> int:
+    """Returns the index of a zone or kind that is given by index or name; ``len(names)`` if it is unknown."""
     if isinstance(value, int):
         return value
     return names.index(value) if value in names else len(names)
@@ -40,43 +45,47 @@
 def decode_list_event(
     event: Mapping[str, Any], zones: tuple[str, ...], kinds: tuple[str, ...]
 ) -> EngineListEvent:
-    """One event, already parsed as JSON."""
+    """Decodes an event that is already parsed as JSON.
+
+    ``zones`` and ``kinds`` are the names that the indices in the update refer to. Raises ``ProtocolError`` if
+    a value is missing or invalid.
+    """
     try:
         nodes = event["nodes"]
         entries, addresses = [], {}
         for member in nodes["members"]:
-            name = str(member["id"])
-            state = STATES.get(member["phase"])
+            engine = str(member["id"])
+            state = STATE_BY_PHASE.get(member["phase"])
             if state is None:
-                raise ProtocolError(f"unknown state {member['phase']!r}")
+                raise ProtocolError(f"unknown phase {member['phase']!r}")
             if member.get("host_port"):
-                addresses[name] = parse_address(str(member["host_port"]))
+                addresses[engine] = parse_address(str(member["host_port"]))
             entries.append(
                 api.EngineEntry(
-                    engine=name,
+                    engine=engine,
                     state=state,
-                    zone=_place(zones, member.get("locality", 0)),
-                    kind=_place(kinds, member.get("flavor", 0)),
+                    zone=_index_of(zones, member.get("locality", 0)),
+                    kind=_index_of(kinds, member.get("flavor", 0)),
                     cell=int(member.get("cell") or 0),
                     started_at=float(member.get("up_since_ms") or 0) / 1000,
                     weight=float(member.get("size") or 1.0),
                 )
             )
-        kind = api.ListKind.FULL if nodes.get("complete") else api.ListKind.CHANGES
-        update = api.ListUpdate(kind, int(nodes.get("revision") or 0), tuple(entries))
+        list_kind = api.ListKind.FULL if nodes.get("complete") else api.ListKind.CHANGES
+        update = api.ListUpdate(list_kind, int(nodes.get("revision") or 0), tuple(entries))
         return EngineListEvent(int(event["cursor"]), update, addresses)
     except ProtocolError:
         raise
     except (AttributeError, KeyError, TypeError, ValueError) as error:
-        raise ProtocolError(f"bad list event: {error!r}") from None
+        raise ProtocolError(f"invalid list event: {error!r}") from None
 
 
 def parse_list_event(data: bytes, zones: tuple[str, ...], kinds: tuple[str, ...]) -> EngineListEvent:
-    """One event as the channel's bytes."""
+    """Parses the data of one event of the channel; see ``decode_list_event``."""
     try:
         event = orjson.loads(data)
     except orjson.JSONDecodeError as error:
         raise ProtocolError(f"list event is not JSON: {error}") from None
     if not isinstance(event, dict):
-        raise ProtocolError("list event is not an object")
+        raise ProtocolError("list event is not a JSON object")
     return decode_list_event(event, zones, kinds)
--- a/micahold/protocol/event_stream.py
+++ b/micahold/protocol/event_stream.py
@@ -1,4 +1,4 @@
-"""Server-sent events: lines in any split to events with their ids."""
+"""Parses event streams (server-sent events, HTML standard, section 9.2) that arrive in any split."""
 
 from __future__ import annotations
 
@@ -6,57 +6,66 @@
 
 from micahold.protocol.errors import ProtocolError
 
-MOST_LINE = 4 * 1024 * 1024
+# Bounds a line, and the data of one event.
+MAX_LINE_BYTES = 4 * 1024 * 1024
 
 
 @dataclass(slots=True, frozen=True)
 class ServerSentEvent:
-    """One event; ``last_event_id`` is the last that the stream gave."""
+    """One event; ``last_event_id`` is the id that the stream set last, in this event or before it."""
 
     last_event_id: bytes
     data: bytes
 
 
 class EventStreamParser:
-    """Takes the bytes of one stream; comments and fields that are not known are passed over."""
+    """Parses one event stream; ignores comments and all fields but ``data`` and ``id``."""
 
-    def __init__(self, max_line_bytes: int = MOST_LINE) -> None:
-        self._most = max_line_bytes
-        self._kept = bytearray()
-        self._skip_feed = False  # the last line ended in a carriage return: a line feed belongs to it
-        self._id = b""
-        self._data: list[bytes] = []
-        self._size = 0
+    def __init__(self, max_line_bytes: int = MAX_LINE_BYTES) -> None:
+        self._max_bytes = max_line_bytes
+        self._buffer = bytearray()
+        self._skip_line_feed = (
+            False  # data ended in a carriage return: a line feed next is part of that line end
+        )
+        self._last_event_id = b""
+        self._data_lines: list[bytes] = []
+        self._data_bytes = 0
 
     def feed(self, data: bytes) -> list[ServerSentEvent]:
-        """The events that are whole now."""
-        if self._skip_feed and data:
+        """Accepts received data and returns the events that it completes.
+
+        Raises ``ProtocolError`` if a line or the data of an event is too long.
+        """
+        if self._skip_line_feed and data:
             data = data.removeprefix(b"\n")
-            self._skip_feed = False
-        self._skip_feed = data.endswith(b"\r")
-        self._kept += data
-        *lines, rest = bytes(self._kept).replace(b"\r\n", b"\n").replace(b"\r", b"\n").split(b"\n")
-        self._kept = bytearray(rest)
-        if len(self._kept) > self._most:
-            raise ProtocolError("a line that is too long")
+            self._skip_line_feed = False
+        self._skip_line_feed = data.endswith(b"\r")
+        self._buffer += data
+        *lines, rest = bytes(self._buffer).replace(b"\r\n", b"\n").replace(b"\r", b"\n").split(b"\n")
+        self._buffer = bytearray(rest)
+        if len(self._buffer) > self._max_bytes:
+            raise ProtocolError("event stream line too long")
         events = []
         for line in lines:
-            event = self._line(line)
+            event = self._process_line(line)
             if event is not None:
                 events.append(event)
         return events
 
-    def _line(self, line: bytes) -> ServerSentEvent | None:
+    def _process_line(self, line: bytes) -> ServerSentEvent | None:
+        """Processes one line; returns an event if the line is the empty one that ends an event with data."""
         if not line:
-            data, self._data, self._size = self._data, [], 0
-            return ServerSentEvent(self._id, b"\n".join(data)) if data else None
+            data_lines = self._data_lines
+            self._data_lines = []
+            self._data_bytes = 0
+            return ServerSentEvent(self._last_event_id, b"\n".join(data_lines)) if data_lines else None
         name, _, value = line.partition(b":")
         value = value.removeprefix(b" ")
         if name == b"data":
-            self._data.append(value)
-            self._size += len(value)
-            if self._size > self._most:
-                raise ProtocolError("an event that is too long")
+            self._data_lines.append(value)
+            self._data_bytes += len(value)
+            if self._data_bytes > self._max_bytes:
+                raise ProtocolError("event data too long")
         elif name == b"id" and b"\0" not in value:
-            self._id = value
+            self._last_event_id = value
         return None
--- a/micahold/protocol/http_messages.py
+++ b/micahold/protocol/http_messages.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 as a client needs it: requests to bytes, and answers from bytes in any split."""
+"""The client side of HTTP/1.1 (RFC 9110 and RFC 9112): encodes requests, parses responses in any split."""
 
 from __future__ import annotations
 
@@ -6,18 +6,27 @@
 
 from micahold.protocol.errors import ProtocolError
 
+# Status line and header section of a response.
 MAX_HEAD_BYTES = 16 * 1024
 MAX_BODY_BYTES = 64 * 1024
-MOST_INTERIM = 16  # interim answers ahead of one answer
-LONGEST_LINE = 1024  # of a chunk size or a trailer
-START = b"HTTP/1."
-NO_BODY = (204, 304)
-SINGLE = (b"content-length", b"transfer-encoding")  # two that differ leave open where the answer ends
+# Interim (1xx) responses that may precede one final response.
+MAX_INTERIM_RESPONSES = 16
+# A line with a chunk size or a trailer field.
+MAX_CHUNK_LINE_BYTES = 1024
+VERSION_PREFIX = b"HTTP/1."
+# Status codes of responses without a body.
+BODILESS_STATUSES = (204, 304)
+# Header fields that delimit the body: two different values leave open where the response ends.
+FRAMING_HEADERS = (b"content-length", b"transfer-encoding")
 
 
 @dataclass(slots=True)
 class HttpResponse:
-    """One whole answer; names of headers are in lower case."""
+    """One complete final response.
+
+    ``headers`` maps field names in lower case to values. ``keep_alive`` tells whether the connection can be
+    used for another request.
+    """
 
     status: int
     headers: dict[bytes, bytes]
@@ -32,6 +41,7 @@
     headers: tuple[tuple[bytes, bytes], ...],
     body: bytes | None = None,
 ) -> bytes:
+    """Encodes a request; Content-Length is added if there is a body, which may be empty."""
     lines = [method + b" " + path + b" HTTP/1.1\r\nHost: " + host]
     lines += [name + b": " + value for name, value in headers]
     if body is not None:
@@ -40,165 +50,194 @@
 
 
 def parse_response_head(head: bytes) -> tuple[int, dict[bytes, bytes], bool]:
-    """Status, headers and whether the connection stays open, from a head without its empty line."""
-    first, *lines = head.split(b"\r\n")
-    version, _, rest = first.partition(b" ")
-    if version not in (b"HTTP/1.1", b"HTTP/1.0") or not rest[:3].isdigit() or rest[3:4] not in (b"", b" "):
-        raise ProtocolError("not an HTTP answer")
+    """Parses the status line and the header section, without the empty line that ends them.
+
+    Returns the status code, the header fields by name in lower case, and whether the connection persists
+    after the response. Raises ``ProtocolError`` if the head is malformed.
+    """
+    status_line, *field_lines = head.split(b"\r\n")
+    version, _, status_and_reason = status_line.partition(b" ")
+    if (
+        version not in (b"HTTP/1.1", b"HTTP/1.0")
+        or not status_and_reason[:3].isdigit()
+        or status_and_reason[3:4] not in (b"", b" ")
+    ):
+        raise ProtocolError("not an HTTP/1.x response")
     headers: dict[bytes, bytes] = {}
-    for line in lines:
-        name, sign, value = line.partition(b":")
-        if not sign or not name.strip():
-            raise ProtocolError("a header line that can't be read")
+    for line in field_lines:
+        name, colon, value = line.partition(b":")
+        if not colon or not name.strip():
+            raise ProtocolError("malformed header field line")
         name, value = name.strip().lower(), value.strip()
-        if name in SINGLE and headers.get(name, value) != value:
-            raise ProtocolError("a header that contradicts itself")
+        if name in FRAMING_HEADERS and headers.get(name, value) != value:
+            raise ProtocolError("conflicting values of one header field")
         headers[name] = value
-    word = headers.get(b"connection", b"").lower()
-    return int(rest[:3]), headers, word != b"close" and (version == b"HTTP/1.1" or word == b"keep-alive")
+    connection_option = headers.get(b"connection", b"").lower()
+    return (
+        int(status_and_reason[:3]),
+        headers,
+        connection_option != b"close" and (version == b"HTTP/1.1" or connection_option == b"keep-alive"),
+    )
 
 
-def body_size(status: int, headers: dict[bytes, bytes]) -> int | None:
-    """The size that the head tells; None where only the end of the connection tells it."""
-    if status in NO_BODY:
+def body_length(status: int, headers: dict[bytes, bytes]) -> int | None:
+    """Returns the length of a body that is not chunked, or None if the end of the connection delimits it."""
+    if status in BODILESS_STATUSES:
         return 0
     value = headers.get(b"content-length")
     if value is None:
         return None
     if not value.isdigit() or len(value) > 10:
-        raise ProtocolError("a length that can't be read")
+        raise ProtocolError("invalid Content-Length")
     return int(value)
 
 
 def is_chunked(headers: dict[bytes, bytes]) -> bool:
+    """Whether the body uses the chunked transfer coding."""
     return headers.get(b"transfer-encoding", b"").lower() == b"chunked"
 
 
 class ChunkedDecoder:
-    """A chunked body, chunk by chunk; whole once the last chunk and its trailer have come."""
+    """Decodes the chunked transfer coding; ``complete`` is set after the last chunk and its trailer section.
+
+    Chunk extensions and trailer fields are ignored.
+    """
 
     def __init__(self) -> None:
         self.complete = False
-        self._left = 0  # bytes of the chunk being read
-        self._ends_line = False  # the line end behind a chunk is due
+        self._chunk_remaining = 0  # bytes of the current chunk that are still to come
+        self._expects_chunk_end = False  # the CRLF after the data of a chunk comes next
         self._in_trailer = False
 
-    def decode(self, kept: bytearray) -> bytes:
-        """Cuts what is whole off the front of ``kept`` and gives the data in it."""
+    def decode(self, buffer: bytearray) -> bytes:
+        """Removes all that can be decoded from the front of ``buffer`` and returns the data in it."""
         data = bytearray()
-        while not self.complete and kept:
-            if self._left:
-                part = kept[: self._left]
-                del kept[: len(part)]
+        while not self.complete and buffer:
+            if self._chunk_remaining:
+                part = buffer[: self._chunk_remaining]
+                del buffer[: len(part)]
                 data += part
-                self._left -= len(part)
-                self._ends_line = not self._left
+                self._chunk_remaining -= len(part)
+                self._expects_chunk_end = not self._chunk_remaining
                 continue
-            end = kept.find(b"\r\n")
-            if end > LONGEST_LINE or (end < 0 and len(kept) > LONGEST_LINE):
-                raise ProtocolError("a chunk size that can't be read")
-            if end < 0:
+            line_end = buffer.find(b"\r\n")
+            if line_end > MAX_CHUNK_LINE_BYTES or (line_end < 0 and len(buffer) > MAX_CHUNK_LINE_BYTES):
+                raise ProtocolError("chunk size or trailer line too long")
+            if line_end < 0:
                 break
-            line = bytes(kept[:end])
-            del kept[: end + 2]
-            if self._ends_line:
+            line = bytes(buffer[:line_end])
+            del buffer[: line_end + 2]
+            if self._expects_chunk_end:
                 if line:
-                    raise ProtocolError("a chunk without its end")
-                self._ends_line = False
+                    raise ProtocolError("chunk data longer than its chunk size")
+                self._expects_chunk_end = False
             elif self._in_trailer:
                 self.complete = not line
             else:
                 size = line.partition(b";")[0].strip()
                 if not size or size.strip(b"0123456789abcdefABCDEF") or len(size) > 8:
-                    raise ProtocolError("a chunk size that can't be read")
-                self._left = int(size, 16)
-                self._in_trailer = not self._left
+                    raise ProtocolError("invalid chunk size")
+                self._chunk_remaining = int(size, 16)
+                self._in_trailer = not self._chunk_remaining
         return bytes(data)
 
 
 class ResponseParser:
-    """Answers on one connection, one at a time.
+    """Parses the responses on one connection, one at a time.
 
-    A whole answer counts whatever comes behind it, but its connection is then of no further use. A good
-    answer tells its size: one that only the end of the connection ends may have been cut off.
+    A complete response is valid whatever data follows it, but its connection is then not kept alive. A
+    response with status 200 must state its length: a body that only the end of the connection delimits may
+    have been truncated.
     """
 
     def __init__(self, max_body_bytes: int = MAX_BODY_BYTES) -> None:
         self._max_body_bytes = max_body_bytes
-        self._kept = bytearray()
+        self._buffer = bytearray()
         self._head: tuple[int, dict[bytes, bytes], bool] | None = None
-        self._size: int | None = None
-        self._chunks: ChunkedDecoder | None = None
+        self._body_length: int | None = None
+        self._chunked_decoder: ChunkedDecoder | None = None
         self._body = bytearray()
-        self._interim = 0
+        self._interim_responses = 0
 
     def feed(self, data: bytes) -> HttpResponse | None:
-        """The answer once it is whole."""
-        if self._head is None and not self._kept:
-            answer = self._whole(data)
-            if answer is not None:
-                return answer
-        self._kept += data
+        """Accepts received data; returns the response once it is complete.
+
+        Raises ``ProtocolError`` for data that is not an HTTP response or exceeds a limit.
+        """
+        if self._head is None and not self._buffer:
+            response = self._parse_whole(data)
+            if response is not None:
+                return response
+        self._buffer += data
         while self._head is None:
-            end = self._kept.find(b"\r\n\r\n")
-            if end > MAX_HEAD_BYTES or (end < 0 and len(self._kept) > MAX_HEAD_BYTES):
-                raise ProtocolError("a head that is too long")
-            if not START.startswith(bytes(self._kept[: len(START)])):
-                raise ProtocolError("not an HTTP answer")  # at once: noise may never have the end of a head
-            if end < 0:
+            head_end = self._buffer.find(b"\r\n\r\n")
+            if head_end > MAX_HEAD_BYTES or (head_end < 0 and len(self._buffer) > MAX_HEAD_BYTES):
+                raise ProtocolError("response head too long")
+            if not VERSION_PREFIX.startswith(bytes(self._buffer[: len(VERSION_PREFIX)])):
+                # Not deferred to the end of the head, which other data may never contain.
+                raise ProtocolError("not an HTTP/1.x response")
+            if head_end < 0:
                 return None
-            head = parse_response_head(bytes(self._kept[:end]))
-            del self._kept[: end + 4]
+            head = parse_response_head(bytes(self._buffer[:head_end]))
+            del self._buffer[: head_end + 4]
             if head[0] < 200:
-                self._interim += 1
-                if self._interim > MOST_INTERIM:
-                    raise ProtocolError("interim answers without end")
-                continue  # the real one follows
+                self._interim_responses += 1
+                if self._interim_responses > MAX_INTERIM_RESPONSES:
+                    raise ProtocolError("too many interim responses")
+                continue  # the final response follows
             self._head = head
-            self._chunks = ChunkedDecoder() if is_chunked(head[1]) else None
-            self._size = None if self._chunks else body_size(head[0], head[1])
-            if self._size is None and self._chunks is None and head[0] == 200:
-                raise ProtocolError("a body of no told size")
-            if self._size is not None and self._size > self._max_body_bytes:
-                raise ProtocolError("a body that is too long")
-        if self._chunks is not None:
-            self._body += self._chunks.decode(self._kept)
-        elif self._size is not None:
-            part = self._kept[: self._size - len(self._body)]
+            self._chunked_decoder = ChunkedDecoder() if is_chunked(head[1]) else None
+            self._body_length = None if self._chunked_decoder else body_length(head[0], head[1])
+            if self._body_length is None and self._chunked_decoder is None and head[0] == 200:
+                raise ProtocolError("200 response without Content-Length or chunked transfer coding")
+            if self._body_length is not None and self._body_length > self._max_body_bytes:
+                raise ProtocolError("response body too long")
+        if self._chunked_decoder is not None:
+            self._body += self._chunked_decoder.decode(self._buffer)
+        elif self._body_length is not None:
+            part = self._buffer[: self._body_length - len(self._body)]
             self._body += part
-            del self._kept[: len(part)]
+            del self._buffer[: len(part)]
         else:
-            self._body += self._kept
-            self._kept.clear()
+            self._body += self._buffer
+            self._buffer.clear()
         if len(self._body) > self._max_body_bytes:
-            raise ProtocolError("a body that is too long")
-        whole = self._chunks.complete if self._chunks else self._size == len(self._body)
-        return self._finish() if whole else None
-
-    def _whole(self, data: bytes) -> HttpResponse | None:
-        """The usual case at one go: one answer of a told size, come all at once."""
-        end = data.find(b"\r\n\r\n")
-        if not 0 < end <= MAX_HEAD_BYTES:
+            raise ProtocolError("response body too long")
+        is_complete = (
+            self._chunked_decoder.complete if self._chunked_decoder else self._body_length == len(self._body)
+        )
+        return self._finish() if is_complete else None
+
+    def _parse_whole(self, data: bytes) -> HttpResponse | None:
+        """Fast path for data that is exactly one final response of known length; None for all other data."""
+        head_end = data.find(b"\r\n\r\n")
+        if not 0 < head_end <= MAX_HEAD_BYTES:
             return None
-        status, headers, keep_alive = parse_response_head(data[:end])
-        size = body_size(status, headers)
-        if status < 200 or size is None or is_chunked(headers) or len(data) != end + 4 + size:
+        status, headers, keep_alive = parse_response_head(data[:head_end])
+        length = body_length(status, headers)
+        if status < 200 or length is None or is_chunked(headers) or len(data) != head_end + 4 + length:
             return None
-        if size > self._max_body_bytes:
-            raise ProtocolError("a body that is too long")
-        return HttpResponse(status, headers, data[end + 4 :], keep_alive)
+        if length > self._max_body_bytes:
+            raise ProtocolError("response body too long")
+        return HttpResponse(status, headers, data[head_end + 4 :], keep_alive)
 
     def connection_closed(self) -> HttpResponse | None:
-        """The connection has ended: the answer whose end only that could tell, if there is one."""
-        if self._head is None or self._chunks is not None or self._size is not None:
+        """Returns the response that the end of the connection completes, or None if there is none."""
+        if self._head is None or self._chunked_decoder is not None or self._body_length is not None:
             return None
         return self._finish()
 
     def _finish(self) -> HttpResponse:
+        """Returns the current response and prepares for the next."""
         assert self._head is not None
         status, headers, keep_alive = self._head
-        told = self._size is not None or self._chunks is not None
-        answer = HttpResponse(status, headers, bytes(self._body), keep_alive and told and not self._kept)
-        self._head, self._size, self._chunks, self._interim = None, None, None, 0
+        is_delimited = self._body_length is not None or self._chunked_decoder is not None
+        response = HttpResponse(
+            status, headers, bytes(self._body), keep_alive and is_delimited and not self._buffer
+        )
+        self._head = None
+        self._body_length = None
+        self._chunked_decoder = None
+        self._interim_responses = 0
         self._body = bytearray()
-        return answer
+        return response
--- a/micahold/protocol/load_report.py
+++ b/micahold/protocol/load_report.py
@@ -1,11 +1,11 @@
-"""The load report that an engine's answer carries in one header: ``inflight:7;util:0.61``."""
+"""Parses the load report in a header of an engine's response, for example ``inflight:7;util:0.61``."""
 
 from __future__ import annotations
 
 import math
 
-# The platform's names of the fields on sockets, beside those that the settings use for them.
-NAMES = {
+# Columns of the settings by the names that engines use in the header; the column names are accepted too.
+COLUMN_BY_FIELD = {
     "inflight": "rif",
     "queue": "q",
     "util": "busy",
@@ -16,15 +16,15 @@
 
 
 def parse_load_report(value: bytes | None, columns: tuple[str, ...]) -> dict[str, float]:
-    """Figures by the settings' names; what is unknown, not asked for or no number is left out."""
-    figures: dict[str, float] = {}
+    """Returns the values by column; leaves out other columns and values that are not finite numbers."""
+    values: dict[str, float] = {}
     for part in (value or b"").decode("latin-1").split(";"):
-        name, sign, text = part.strip().partition(":")
-        name = NAMES.get(name.strip(), name.strip())
+        name, colon, text = part.strip().partition(":")
+        name = COLUMN_BY_FIELD.get(name.strip(), name.strip())
         try:
-            figure = float(text)
+            number = float(text)
         except ValueError:
             continue
-        if sign and math.isfinite(figure) and name in columns:
-            figures[name] = figure
-    return figures
+        if colon and math.isfinite(number) and name in columns:
+            values[name] = number
+    return values
--- a/micahold/protocol/mysql_handshake.py
+++ b/micahold/protocol/mysql_handshake.py
@@ -1,4 +1,4 @@
-"""MySQL client protocol 4.1: greeting, login, and the short answers OK, EOF and ERR."""
+"""The connection phase of the MySQL client/server protocol, and the packets OK, EOF and ERR."""
 
 from __future__ import annotations
 
@@ -7,11 +7,14 @@
 from micahold.protocol.errors import ProtocolError
 
 SERVER_VERSION = b"5.7.0-micahold"
-AUTH_PLUGIN = b"mysql_native_password"
+AUTH_PLUGIN_NAME = b"mysql_native_password"
 SCRAMBLE_BYTES = 20
+# Number of the character set utf8_general_ci.
 UTF8_GENERAL_CI = 33
+# Status flag.
 SERVER_STATUS_AUTOCOMMIT = 2
 
+# Capability flags.
 CLIENT_LONG_PASSWORD = 0x1
 CLIENT_CONNECT_WITH_DB = 0x8
 CLIENT_PROTOCOL_41 = 0x200
@@ -20,7 +23,8 @@
 CLIENT_SECURE_CONNECTION = 0x8000
 CLIENT_PLUGIN_AUTH = 0x80000
 CLIENT_PLUGIN_AUTH_LENENC_CLIENT_DATA = 0x200000
-CAPABILITIES = (
+# Capabilities that the server offers.
+SERVER_CAPABILITIES = (
     CLIENT_LONG_PASSWORD
     | CLIENT_CONNECT_WITH_DB
     | CLIENT_PROTOCOL_41
@@ -29,6 +33,7 @@
     | CLIENT_PLUGIN_AUTH
 )
 
+# SQLSTATE by error code.
 SQL_STATES = {
     1040: b"08004", 1043: b"08S01", 1045: b"28000", 1047: b"08S01", 1049: b"42000",
     1053: b"08S01", 1064: b"42000", 1094: b"HY000", 1105: b"HY000", 1153: b"08S01", 1156: b"08S01",
@@ -39,7 +44,7 @@
 
 @dataclass(slots=True, frozen=True)
 class HandshakeResponse:
-    """What a client says of itself."""
+    """The fields of Protocol::HandshakeResponse41 that the front uses."""
 
     user: bytes
     auth_response: bytes
@@ -47,23 +52,27 @@
 
 
 def handshake_payload(connection_id: int, scramble: bytes) -> bytes:
-    """The server's first packet."""
+    """Encodes the payload of Protocol::HandshakeV10, the first packet of the server.
+
+    ``scramble`` is the auth-plugin-data of SCRAMBLE_BYTES bytes, none of them zero.
+    """
     return b"".join(
         (
             b"\x0a" + SERVER_VERSION + b"\0",
             (connection_id & 0xFFFFFFFF).to_bytes(4, "little"),
             scramble[:8] + b"\0",
-            (CAPABILITIES & 0xFFFF).to_bytes(2, "little"),
+            (SERVER_CAPABILITIES & 0xFFFF).to_bytes(2, "little"),
             bytes((UTF8_GENERAL_CI,)) + SERVER_STATUS_AUTOCOMMIT.to_bytes(2, "little"),
-            (CAPABILITIES >> 16).to_bytes(2, "little"),
+            (SERVER_CAPABILITIES >> 16).to_bytes(2, "little"),
             bytes((SCRAMBLE_BYTES + 1,)) + bytes(10),
             scramble[8:SCRAMBLE_BYTES] + b"\0",
-            AUTH_PLUGIN + b"\0",
+            AUTH_PLUGIN_NAME + b"\0",
         )
     )
 
 
-def _until_zero(payload: bytes, start: int) -> tuple[bytes, int]:
+def _read_null_terminated(payload: bytes, start: int) -> tuple[bytes, int]:
+    """Reads a ``string<NUL>``; returns it and the offset after its terminator."""
     end = payload.find(b"\0", start)
     if end < 0:
         raise ProtocolError("login cut short")
@@ -71,38 +80,44 @@
 
 
 def parse_handshake_response(payload: bytes) -> HandshakeResponse:
-    """The client's answer to the greeting."""
+    """Parses the payload of Protocol::HandshakeResponse41, the client's first packet.
+
+    Raises ``ProtocolError`` if it is truncated, of another protocol version or requests TLS.
+    """
     if len(payload) < 32:
         raise ProtocolError("login cut short")
-    flags = int.from_bytes(payload[:4], "little")
-    if not flags & CLIENT_PROTOCOL_41:
+    capabilities = int.from_bytes(payload[:4], "little")
+    if not capabilities & CLIENT_PROTOCOL_41:
         raise ProtocolError("not the 4.1 protocol")
-    if flags & CLIENT_SSL:
+    if capabilities & CLIENT_SSL:
         raise ProtocolError("encryption is not offered")
-    user, at = _until_zero(payload, 32)
-    if flags & (CLIENT_SECURE_CONNECTION | CLIENT_PLUGIN_AUTH_LENENC_CLIENT_DATA):
-        end = at + 1 + payload[at] if at < len(payload) else at + 1
+    user, offset = _read_null_terminated(payload, 32)
+    if capabilities & (CLIENT_SECURE_CONNECTION | CLIENT_PLUGIN_AUTH_LENENC_CLIENT_DATA):
+        # One byte of length in both forms: a length-encoded integer below 251 is that byte.
+        end = offset + 1 + payload[offset] if offset < len(payload) else offset + 1
         if end > len(payload):
             raise ProtocolError("login cut short")
-        auth_response, at = payload[at + 1 : end], end
+        auth_response, offset = payload[offset + 1 : end], end
     else:
-        auth_response, at = _until_zero(payload, at)
+        auth_response, offset = _read_null_terminated(payload, offset)
     database = b""
-    if flags & CLIENT_CONNECT_WITH_DB and at < len(payload):
-        end = payload.find(b"\0", at)
-        database = payload[at : len(payload) if end < 0 else end]
+    if capabilities & CLIENT_CONNECT_WITH_DB and offset < len(payload):
+        end = payload.find(b"\0", offset)
+        database = payload[offset : len(payload) if end < 0 else end]
     return HandshakeResponse(user, auth_response, database)
 
 
 def ok_payload() -> bytes:
-    """OK: no rows touched, no warnings."""
+    """Encodes the payload of an OK_Packet without affected rows, insert id or warnings."""
     return b"\0\0\0" + SERVER_STATUS_AUTOCOMMIT.to_bytes(2, "little") + b"\0\0"
 
 
 def eof_payload() -> bytes:
+    """Encodes the payload of an EOF_Packet without warnings."""
     return b"\xfe\0\0" + SERVER_STATUS_AUTOCOMMIT.to_bytes(2, "little")
 
 
 def error_payload(code: int, text: str) -> bytes:
-    state = SQL_STATES.get(code, b"HY000")
-    return b"\xff" + code.to_bytes(2, "little") + b"#" + state + text.encode()
+    """Encodes the payload of an ERR_Packet; codes that are not listed have the SQLSTATE HY000."""
+    sql_state = SQL_STATES.get(code, b"HY000")
+    return b"\xff" + code.to_bytes(2, "little") + b"#" + sql_state + text.encode()
--- a/micahold/protocol/mysql_packets.py
+++ b/micahold/protocol/mysql_packets.py
@@ -1,20 +1,21 @@
-"""MySQL client protocol: packets in a stream, and the numbers and texts inside them."""
+"""Packets and length-encoded values of the MySQL client/server protocol."""
 
 from __future__ import annotations
 
 from micahold.protocol.errors import ProtocolError
 
 HEADER_BYTES = 4
-MAX_PAYLOAD_BYTES = 0xFFFFFF  # a packet this long continues in the next; no query here is near it
+# A packet with a payload of this length continues in the next one; no query here comes near it.
+MAX_PAYLOAD_BYTES = 0xFFFFFF
 
 
-def encode_packet(sequence: int, payload: bytes) -> bytes:
-    """One packet; its sequence number counts modulo 256."""
-    return len(payload).to_bytes(3, "little") + bytes((sequence & 0xFF,)) + payload
+def encode_packet(sequence_id: int, payload: bytes) -> bytes:
+    """Encodes one packet; the sequence id is reduced modulo 256."""
+    return len(payload).to_bytes(3, "little") + bytes((sequence_id & 0xFF,)) + payload
 
 
 def encode_lenenc_int(value: int) -> bytes:
-    """A length-encoded integer."""
+    """Encodes a length-encoded integer, ``int<lenenc>``."""
     if value < 0xFB:
         return bytes((value,))
     if value <= 0xFFFF:
@@ -25,42 +26,48 @@
 
 
 def encode_lenenc_string(text: bytes) -> bytes:
-    """A text with its length ahead."""
+    """Encodes a length-encoded string, ``string<lenenc>``."""
     return encode_lenenc_int(len(text)) + text
 
 
 class PacketReader:
-    """Takes bytes in any split and hands out packets one by one; what it keeps is bounded."""
+    """Splits received data, which may arrive in any split, into packets; the data it buffers is bounded."""
 
     def __init__(self, max_payload_bytes: int, max_buffered_bytes: int) -> None:
-        self.max_payload_bytes, self.max_buffered_bytes = max_payload_bytes, max_buffered_bytes
-        self._kept = bytearray()
+        self.max_payload_bytes = max_payload_bytes
+        self.max_buffered_bytes = max_buffered_bytes
+        self._buffer = bytearray()
 
     def feed(self, data: bytes) -> None:
-        self._kept += data
-        if len(self._kept) > self.max_buffered_bytes:
+        """Buffers received data; raises ``ProtocolError`` if more is buffered than the limit."""
+        self._buffer += data
+        if len(self._buffer) > self.max_buffered_bytes:
             raise ProtocolError("more sent ahead than is kept")
 
     def clear(self) -> None:
-        """Nothing of this stream is wanted any more."""
-        self._kept.clear()
+        """Discards the buffered data of a connection that is being closed."""
+        self._buffer.clear()
 
     @property
     def buffered_bytes(self) -> int:
-        """Bytes that came and were not handed out yet."""
-        return len(self._kept)
+        """Number of bytes received and not yet returned in a packet."""
+        return len(self._buffer)
 
     def next_packet(self) -> tuple[int, bytes] | None:
-        """Sequence number and payload of the next whole packet, or None until more has come."""
-        kept = self._kept
-        if len(kept) < HEADER_BYTES:
+        """Returns sequence id and payload of the next packet, or None if it is incomplete.
+
+        Raises ``ProtocolError`` if the header announces a payload above the limit.
+        """
+        buffer = self._buffer
+        if len(buffer) < HEADER_BYTES:
             return None
-        size = int.from_bytes(kept[:3], "little")
-        if size > self.max_payload_bytes:
+        payload_bytes = int.from_bytes(buffer[:3], "little")
+        if payload_bytes > self.max_payload_bytes:
             raise ProtocolError("packet too large")
-        end = HEADER_BYTES + size
-        if len(kept) < end:
+        packet_end = HEADER_BYTES + payload_bytes
+        if len(buffer) < packet_end:
             return None
-        sequence, payload = kept[3], bytes(kept[HEADER_BYTES:end])
-        del kept[:end]
-        return sequence, payload
+        sequence_id = buffer[3]
+        payload = bytes(buffer[HEADER_BYTES:packet_end])
+        del buffer[:packet_end]
+        return sequence_id, payload
--- a/micahold/protocol/mysql_results.py
+++ b/micahold/protocol/mysql_results.py
@@ -1,6 +1,6 @@
-"""MySQL result sets in the text protocol, from an engine's pages; cells stay the bytes that came.
+"""Encodes MySQL text result sets from the pages of an engine; the bytes of the values are not changed.
 
-Rows are put into packets in one pass as the pages are read, since this is the most done work of a front.
+Rows are encoded in one pass as the pages arrive, since this is the most frequent work of a front.
 """
 
 from __future__ import annotations
@@ -9,75 +9,89 @@
 from micahold.protocol.mysql_handshake import UTF8_GENERAL_CI, eof_payload
 from micahold.protocol.mysql_packets import encode_lenenc_int, encode_lenenc_string, encode_packet
 
-COLUMNS = (b"c1", b"c2", b"c3")
-VAR_STRING = 0xFD
-WIDEST_CELL = 65535
-# of one result, which holds 48,000 at most; results are kept until they are whole
+COLUMN_NAMES = (b"c1", b"c2", b"c3")
+MYSQL_TYPE_VAR_STRING = 0xFD
+MAX_VALUE_BYTES = 65535
+# Bounds the pages of one result, which is buffered until it is complete. Engines send at most 48,000 bytes.
 MAX_RESULT_BYTES = 64 * 1024
 
 
-def _column(name: bytes) -> bytes:
+def _column_definition(name: bytes) -> bytes:
+    """Encodes the payload of a Protocol::ColumnDefinition41 for a column of strings."""
     return b"".join(
         (
             encode_lenenc_string(b"def"),
             b"\0\0\0" + encode_lenenc_string(name) + b"\0",
-            b"\x0c" + UTF8_GENERAL_CI.to_bytes(2, "little") + WIDEST_CELL.to_bytes(4, "little"),
-            bytes((VAR_STRING,)) + b"\0\0\0\0\0",
+            b"\x0c" + UTF8_GENERAL_CI.to_bytes(2, "little") + MAX_VALUE_BYTES.to_bytes(4, "little"),
+            bytes((MYSQL_TYPE_VAR_STRING,)) + b"\0\0\0\0\0",
         )
     )
 
 
-EOF = eof_payload()
-_HEAD = (encode_lenenc_int(len(COLUMNS)), *(_column(name) for name in COLUMNS), EOF)
-HEAD = b"".join(encode_packet(number, payload) for number, payload in enumerate(_HEAD, start=1))
-FIRST_ROW_SEQUENCE_ID = len(_HEAD) + 1  # sequence number of the first row in the answer to a query
+EOF_PAYLOAD = eof_payload()
+_METADATA_PAYLOADS = (
+    encode_lenenc_int(len(COLUMN_NAMES)),
+    *(_column_definition(name) for name in COLUMN_NAMES),
+    EOF_PAYLOAD,
+)
+METADATA_PACKETS = b"".join(
+    encode_packet(sequence_id, payload) for sequence_id, payload in enumerate(_METADATA_PAYLOADS, start=1)
+)
+# Sequence id of the first row in the response to a query.
+FIRST_ROW_SEQUENCE_ID = len(_METADATA_PAYLOADS) + 1
 
-_SHORT = 0xFB  # a row below this many bytes has all its lengths in one byte each
+# In a row with a payload below this size, the length of every value is encoded in one byte.
+_SHORT_ROW_BYTES = 0xFB
 _BYTE = [bytes((value,)) for value in range(256)]
-_SIZE = [value.to_bytes(3, "little") for value in range(_SHORT)]
+_PAYLOAD_LENGTH = [value.to_bytes(3, "little") for value in range(_SHORT_ROW_BYTES)]
 
 
 class ResultSetEncoder:
-    """Takes pages in order and gives the whole answer to the query."""
+    """Encodes the complete response to a query from its pages, which are added in order."""
 
     def __init__(self) -> None:
-        self._parts: list[bytes] = [HEAD]
-        self._sequence = FIRST_ROW_SEQUENCE_ID
-        self._size = 0
+        self._encoded: list[bytes] = [METADATA_PACKETS]
+        self._sequence_id = FIRST_ROW_SEQUENCE_ID
+        self._page_bytes = 0
 
     def add_page(self, page: bytes) -> None:
-        """One page; it holds whole rows."""
+        """Encodes the rows of one page: lines of tab-separated values, one for each column.
+
+        Raises ``ProtocolError`` if the page ends within a row, a row has another number of values, or the
+        result is too large.
+        """
         if not page:
             return
-        self._size += len(page)
-        if self._size > MAX_RESULT_BYTES:
-            raise ProtocolError("a result that is too large")
+        self._page_bytes += len(page)
+        if self._page_bytes > MAX_RESULT_BYTES:
+            raise ProtocolError("result too large")
         lines = page.split(b"\n")
         if lines.pop():
-            raise ProtocolError("a page that ends within a row")
-        parts, sequence = self._parts, self._sequence
+            raise ProtocolError("page ends within a row")
+        encoded = self._encoded
+        sequence_id = self._sequence_id
         for line in lines:
             try:
                 first, second, third = line.split(b"\t")
             except ValueError:
-                raise ProtocolError("a row of the wrong number of columns") from None
-            size = len(line) + 1  # two tabs go, three lengths come
-            if size < _SHORT:
-                parts += (
-                    _SIZE[size], _BYTE[sequence & 255],
+                raise ProtocolError("row with the wrong number of columns") from None
+            payload_bytes = len(line) + 1  # three length bytes replace two tabs
+            if payload_bytes < _SHORT_ROW_BYTES:
+                encoded += (
+                    _PAYLOAD_LENGTH[payload_bytes], _BYTE[sequence_id & 255],
                     _BYTE[len(first)], first, _BYTE[len(second)], second, _BYTE[len(third)], third,
                 )  # fmt: skip
             else:
-                cells = (
+                values = (
                     encode_lenenc_string(first),
                     encode_lenenc_string(second),
                     encode_lenenc_string(third),
                 )
-                parts.append(encode_packet(sequence, b"".join(cells)))
-            sequence += 1
-        self._sequence = sequence
+                encoded.append(encode_packet(sequence_id, b"".join(values)))
+            sequence_id += 1
+        self._sequence_id = sequence_id
 
     def finish(self) -> bytes:
-        """The packets from the number of columns to the last EOF."""
-        self._parts.append(encode_packet(self._sequence, EOF))
-        return b"".join(self._parts)
+        """Returns all packets, from the column count to the final EOF_Packet; ends the use of the encoder."""
+        self._encoded.append(encode_packet(self._sequence_id, EOF_PAYLOAD))
+        return b"".join(self._encoded)
