--- a/tests/network.py
+++ b/tests/network.py
@@ -1,4 +1,4 @@
-"""Transports and connections in memory, for tests of what stands on Twisted."""
+"""In-memory transports and connections for tests of the Twisted protocols, without sockets."""
 
 from __future__ import annotations
 
@@ -20,24 +20,26 @@
 
 
 class MemoryTransport(StringTransport):
-    """A connection in memory; what was written is taken with ``sent``."""
+    """A transport that records written data and whether the connection was aborted."""
 
     aborted = False
 
     def setTcpNoDelay(self, enabled: bool) -> None:
-        pass
+        """Does nothing."""
 
     def abortConnection(self) -> None:
+        """Marks the connection as aborted and closing."""
         self.aborted = self.disconnecting = True
 
     def take_written(self) -> bytes:
+        """Returns the data written since the last call and clears the record."""
         data: bytes = self.value()
         self.clear()
         return data
 
 
 class ServerEnd:
-    """One connection that was asked for, from the other end."""
+    """The server's end of one connection that the front has requested."""
 
     def __init__(self, host: str, port: int, factory: Any, timeout: float) -> None:
         self.address, self.factory, self.timeout = (host, port), factory, timeout
@@ -45,50 +47,60 @@
         self.transport = MemoryTransport()
 
     def accept(self) -> ServerEnd:
+        """Establishes the connection."""
         self.protocol = self.factory.buildProtocol(None)
         self.protocol.makeConnection(self.transport)
         return self
 
     def refuse(self) -> None:
+        """Fails the connection attempt as refused."""
         self.factory.clientConnectionFailed(None, Failure(error.ConnectionRefusedError()))
 
     def time_out(self) -> None:
+        """Fails the connection attempt with a connect timeout."""
         self.factory.clientConnectionFailed(None, Failure(error.TimeoutError()))
 
     def send(self, data: bytes) -> None:
+        """Delivers data to the front."""
         self.protocol.dataReceived(data)
 
     def disconnect(self, clean: bool = False) -> None:
+        """Ends an established connection: by a regular close if ``clean``, otherwise as lost."""
         self.protocol.connectionLost(Failure(error.ConnectionDone() if clean else error.ConnectionLost()))
 
 
 class MemoryNetwork:
-    """A reactor with a clock whose connections are ``connections`` in the order they were asked for."""
+    """A reactor with a simulated clock that records outgoing connections instead of opening sockets."""
 
     def __init__(self) -> None:
         self.clock = MemoryReactorClock()
 
     @property
     def connections(self) -> list[ServerEnd]:
-        made = self.clock.__dict__.setdefault("made_connections", [])
-        for host, port, factory, timeout, _ in self.clock.tcpClients[len(made) :]:
-            made.append(ServerEnd(host, port, factory, timeout))
-        connections: list[ServerEnd] = made
+        """All connections requested so far, in order."""
+        server_ends = self.clock.__dict__.setdefault("made_connections", [])
+        for host, port, factory, timeout, _ in self.clock.tcpClients[len(server_ends) :]:
+            server_ends.append(ServerEnd(host, port, factory, timeout))
+        connections: list[ServerEnd] = server_ends
         return connections
 
     def advance(self, seconds: float = 0.0) -> None:
+        """Advances the clock and runs all calls that are due."""
         self.clock.advance(seconds)
 
 
 def http_response(status: int = 200, body: bytes = b"", **headers: str) -> bytes:
-    """An engine's answer; ``X_Sheets="1"`` becomes ``X-Sheets: 1``."""
+    """Encodes an engine's response; the keyword ``X_Sheets="1"`` becomes the header ``X-Sheets: 1``."""
     lines = [f"{name.replace('_', '-')}: {value}" for name, value in headers.items()]
     head = "\r\n".join([f"HTTP/1.1 {status} X", *lines, f"Content-Length: {len(body)}"])
     return head.encode() + b"\r\n\r\n" + body
 
 
 def engine_list_event(cursor: int = 1, full: bool = True, **states: str) -> EngineListEvent:
-    """A list event: ``a="up"`` is engine ``a``, which listens on a port by its first letter."""
+    """Builds an engine list event: ``a="up"`` is engine ``a`` with that state.
+
+    The port of an engine is derived from the first letter of its name.
+    """
     entries = tuple(api.EngineEntry(name, api.EngineState(state)) for name, state in states.items())
     addresses = {name: ("127.0.0.1", 4000 + ord(name[0])) for name in states}
     kind = api.ListKind.FULL if full else api.ListKind.CHANGES
@@ -96,7 +108,7 @@
 
 
 class EngineHarness(MemoryNetwork):
-    """Pools, a directory with engine ``a`` (and ``b``), and attempts on them."""
+    """Connection pools and a directory with the engines ``a`` and ``b``; starts attempts on them."""
 
     def __init__(self, max_connections: int = 10) -> None:
         super().__init__()
@@ -112,15 +124,16 @@
         )
 
     def make_attempt(self, engine: str = "a", wait: float = 5.0, token: bytes | None = None) -> Attempt:
+        """Creates an attempt that expires after ``wait`` seconds."""
         now = self.clock.seconds()
-        order = AttemptRequest(
+        request = AttemptRequest(
             engine, b"9b1f03aa5c7e2d41", b"report", token, b"SELECT 1", now + wait, now + wait
         )
-        return Attempt(order, self.pools, self.directory, self.counters, self.clock.seconds, self.timers)
+        return Attempt(request, self.pools, self.directory, self.counters, self.clock.seconds, self.timers)
 
     def start_attempt(self, **options: Any) -> tuple[Attempt, list[AttemptResult]]:
-        """An attempt that has started, and the list its end will be in."""
-        attempt, ends = self.make_attempt(**options), list[AttemptResult]()
-        attempt.done.addCallback(ends.append)
+        """Starts an attempt; returns it and a list that receives its result."""
+        attempt, results = self.make_attempt(**options), list[AttemptResult]()
+        attempt.done.addCallback(results.append)
         attempt.start()
-        return attempt, ends
+        return attempt, results
--- a/tests/test_mysql_protocol.py
+++ b/tests/test_mysql_protocol.py
@@ -1,4 +1,4 @@
-"""MySQL packets, login and results: every split of the bytes, bad input, cells that stay as they came."""
+"""Tests of the MySQL packet reader, connection phase and result set encoder, including malformed input."""
 
 from __future__ import annotations
 
@@ -22,115 +22,116 @@
 from micahold.protocol.mysql_results import FIRST_ROW_SEQUENCE_ID, ResultSetEncoder
 from tests.mysql_client import decode_result_set, handshake_response
 
-CELL = st.binary(max_size=300).map(lambda cell: cell.replace(b"\t", b" ").replace(b"\n", b" "))
+VALUE = st.binary(max_size=300).map(lambda value: value.replace(b"\t", b" ").replace(b"\n", b" "))
 
 
-def read_all(reader: PacketReader) -> list[tuple[int, bytes]]:
+def read_packets(reader: PacketReader) -> list[tuple[int, bytes]]:
+    """Returns sequence id and payload of all complete packets."""
     packets = []
     while (packet := reader.next_packet()) is not None:
         packets.append(packet)
     return packets
 
 
-def test_packets_come_out_whole_from_every_split() -> None:
-    sent = [(0, b""), (1, b"\x03SELECT"), (255, b"x" * 300)]
-    data = b"".join(encode_packet(number, payload) for number, payload in sent)
-    for at in range(len(data) + 1):
-        reader, got = PacketReader(1000, 2000), []
-        for part in (data[:at], data[at:]):
+def test_packets_are_read_from_every_split() -> None:
+    packets = [(0, b""), (1, b"\x03SELECT"), (255, b"x" * 300)]
+    data = b"".join(encode_packet(sequence_id, payload) for sequence_id, payload in packets)
+    for split in range(len(data) + 1):
+        reader, packets_read = PacketReader(1000, 2000), []
+        for part in (data[:split], data[split:]):
             reader.feed(part)
-            got += read_all(reader)
-        assert got == sent
+            packets_read += read_packets(reader)
+        assert packets_read == packets
         assert reader.buffered_bytes == 0
 
 
-def test_a_packet_larger_than_allowed_is_told_from_its_head() -> None:
+def test_oversized_packet_is_rejected_from_its_header() -> None:
     reader = PacketReader(10, 100)
     reader.feed((11).to_bytes(3, "little") + b"\0")
     with pytest.raises(ProtocolError):
         reader.next_packet()
 
 
-def test_what_is_sent_ahead_is_bounded() -> None:
+def test_buffered_data_is_bounded() -> None:
     reader = PacketReader(10, 100)
     with pytest.raises(ProtocolError):
         reader.feed(bytes(101))
 
 
-def test_login_without_database_and_with() -> None:
+def test_handshake_response_with_and_without_database_is_parsed() -> None:
     assert parse_handshake_response(handshake_response(b"app", b"dw")).database == b"dw"
     assert parse_handshake_response(handshake_response(b"app", b"")).user == b"app"
 
 
 @pytest.mark.parametrize("flags", [0, CLIENT_PROTOCOL_41 | CLIENT_SSL])
-def test_login_of_another_protocol_or_with_encryption_is_refused(flags: int) -> None:
+def test_handshake_response_of_another_protocol_or_with_tls_is_rejected(flags: int) -> None:
     with pytest.raises(ProtocolError):
         parse_handshake_response(flags.to_bytes(4, "little") + bytes(28) + b"app\0\0")
 
 
-def test_a_login_that_is_cut_short_anywhere_never_gives_another_user() -> None:
-    whole = handshake_response(b"app", b"dw", auth_response=b"secret")
-    for at in range(len(whole)):
+def test_truncated_handshake_response_never_yields_another_user() -> None:
+    complete = handshake_response(b"app", b"dw", auth_response=b"secret")
+    for length in range(len(complete)):
         try:
-            login = parse_handshake_response(whole[:at])
+            response = parse_handshake_response(complete[:length])
         except ProtocolError:
             continue
-        assert login.user == b"app"
-        assert login.auth_response == b"secret"
+        assert response.user == b"app"
+        assert response.auth_response == b"secret"
 
 
 @given(st.binary(max_size=200))
-def test_any_login_is_read_or_refused(payload: bytes) -> None:
-    flags = CLIENT_PROTOCOL_41 | CLIENT_SECURE_CONNECTION | CLIENT_CONNECT_WITH_DB
-    for data in (payload, flags.to_bytes(4, "little") + payload):
+def test_arbitrary_handshake_response_is_parsed_or_rejected(payload: bytes) -> None:
+    capabilities = CLIENT_PROTOCOL_41 | CLIENT_SECURE_CONNECTION | CLIENT_CONNECT_WITH_DB
+    for data in (payload, capabilities.to_bytes(4, "little") + payload):
         with contextlib.suppress(ProtocolError):
             parse_handshake_response(data)
 
 
-def test_greeting_holds_the_connection_id() -> None:
+def test_handshake_has_the_connection_id_after_the_server_version() -> None:
     payload = handshake_payload(0x01020304, b"s" * 20)
     start = payload.index(b"\0") + 1
     assert payload[start : start + 4] == bytes((4, 3, 2, 1))
 
 
-def test_error_packets_hold_code_state_and_text() -> None:
+def test_error_payload_has_code_sqlstate_and_message() -> None:
     payload = error_payload(1226, "after=20")
     assert payload[:3] == b"\xff\xca\x04"
     assert payload[3:] == b"#42000after=20"
 
 
 @pytest.mark.parametrize("value", [0, 250, 251, 65535, 65536, 0xFFFFFF, 0x1000000])
-def test_lengths_take_the_shortest_form(value: int) -> None:
+def test_length_encoded_integer_uses_the_shortest_form(value: int) -> None:
     data = encode_lenenc_int(value)
-    size = {0xFC: 2, 0xFD: 3, 0xFE: 8}.get(data[0], 0)
-    assert len(data) == 1 + size
-    assert (int.from_bytes(data[1:], "little") if size else data[0]) == value
+    extra_bytes = {0xFC: 2, 0xFD: 3, 0xFE: 8}.get(data[0], 0)
+    assert len(data) == 1 + extra_bytes
+    assert (int.from_bytes(data[1:], "little") if extra_bytes else data[0]) == value
 
 
-@given(st.lists(st.lists(st.tuples(CELL, CELL, CELL), max_size=4), max_size=4))
-def test_rows_come_out_as_the_bytes_that_came(pages: list[list[tuple[bytes, bytes, bytes]]]) -> None:
-    rows = ResultSetEncoder()
+@given(st.lists(st.lists(st.tuples(VALUE, VALUE, VALUE), max_size=4), max_size=4))
+def test_rows_decode_to_the_bytes_of_the_pages(pages: list[list[tuple[bytes, bytes, bytes]]]) -> None:
+    encoder = ResultSetEncoder()
     for page in pages:
-        rows.add_page(b"".join(b"\t".join(row) + b"\n" for row in page))
-    assert decode_result_set(rows.finish()) == [row for page in pages for row in page]
+        encoder.add_page(b"".join(b"\t".join(row) + b"\n" for row in page))
+    assert decode_result_set(encoder.finish()) == [row for page in pages for row in page]
 
 
-def test_sequence_numbers_go_on_past_255() -> None:
-    rows = ResultSetEncoder()
-    rows.add_page(b"a\tNULL\t\\N\n" * 600)
+def test_sequence_ids_wrap_around_after_255() -> None:
+    encoder = ResultSetEncoder()
+    encoder.add_page(b"a\tNULL\t\\N\n" * 600)
     reader = PacketReader(1 << 20, 1 << 22)
-    reader.feed(rows.finish())
-    numbers = [number for number, _ in read_all(reader)]
-    assert numbers == [number % 256 for number in range(1, FIRST_ROW_SEQUENCE_ID + 600 + 1)]
+    reader.feed(encoder.finish())
+    sequence_ids = [sequence_id for sequence_id, _ in read_packets(reader)]
+    assert sequence_ids == [number % 256 for number in range(1, FIRST_ROW_SEQUENCE_ID + 600 + 1)]
 
 
 @pytest.mark.parametrize("page", [b"a\tb\tc", b"a\tb\n", b"a\tb\tc\td\n", b"\n", b"a\tb\tc\nx"])
-def test_a_page_that_is_not_whole_rows_of_three_is_not_read(page: bytes) -> None:
+def test_page_with_an_incomplete_row_or_a_wrong_number_of_columns_is_rejected(page: bytes) -> None:
     with pytest.raises(ProtocolError):
         ResultSetEncoder().add_page(page)
 
 
-def test_an_empty_result_is_a_head_and_an_end() -> None:
-    rows = ResultSetEncoder()
-    rows.add_page(b"")
-    assert decode_result_set(rows.finish()) == []
+def test_empty_result_set_has_metadata_and_no_rows() -> None:
+    encoder = ResultSetEncoder()
+    encoder.add_page(b"")
+    assert decode_result_set(encoder.finish()) == []
--- a/tests/test_query_fields.py
+++ b/tests/test_query_fields.py
@@ -1,4 +1,4 @@
-"""Fields and table group of a statement, and what passes on unchanged."""
+"""Tests of the parsers for query fields, KILL QUERY, table groups and multiple statements."""
 
 from __future__ import annotations
 
@@ -15,29 +15,29 @@
 FIELDS = b"class=report,id=9b1f03aa5c7e2d41,wait=1500,tenant=acme,once=5c0f6e1a,cost=820.0,mb=96"
 
 
-def test_fields_are_taken_out_and_the_statement_stays_the_bytes_that_came() -> None:
+def test_fields_are_decoded_and_the_statement_is_unchanged() -> None:
     statement = b"  SELECT '\xc3\xa9*/' FROM sales_17.orders /* class=x */ "
-    read = parse_query(b"/* " + FIELDS + b" */ " + statement)
-    assert read.statement == statement
-    assert (read.id, read.class_name, read.tenant) == (b"9b1f03aa5c7e2d41", b"report", b"acme")
-    assert (read.token, read.wait_s, read.estimated_cost_s, read.estimated_memory_mb) == (
+    query = parse_query(b"/* " + FIELDS + b" */ " + statement)
+    assert query.statement == statement
+    assert (query.id, query.class_name, query.tenant) == (b"9b1f03aa5c7e2d41", b"report", b"acme")
+    assert (query.token, query.wait_s, query.estimated_cost_s, query.estimated_memory_mb) == (
         b"5c0f6e1a",
         1.5,
         0.82,
         96.0,
     )
-    assert (read.table_group, read.is_write) == (17, False)
+    assert (query.table_group, query.is_write) == (17, False)
 
 
-def test_estimates_tenant_and_token_may_be_absent() -> None:
-    read = parse_query(b"/*id=9b1f03aa5c7e2d41,wait=1,class=a*/INSERT INTO x_2.t SELECT 1")
-    assert (read.tenant, read.token, read.estimated_cost_s, read.estimated_memory_mb) == (
+def test_estimates_tenant_and_token_are_optional() -> None:
+    query = parse_query(b"/*id=9b1f03aa5c7e2d41,wait=1,class=a*/INSERT INTO x_2.t SELECT 1")
+    assert (query.tenant, query.token, query.estimated_cost_s, query.estimated_memory_mb) == (
         None,
         None,
         None,
         None,
     )
-    assert (read.table_group, read.is_write) == (2, True)
+    assert (query.table_group, query.is_write) == (2, True)
 
 
 @pytest.mark.parametrize(
@@ -64,7 +64,7 @@
         b"/* " + FIELDS.replace(b"class=report,", b"") + b" */ SELECT 1",
     ],
 )
-def test_missing_or_unusable_fields_are_an_error(text: bytes) -> None:
+def test_missing_or_invalid_fields_and_multiple_statements_are_rejected(text: bytes) -> None:
     with pytest.raises(ProtocolError):
         parse_query(text)
 
@@ -81,15 +81,15 @@
         b"SELECT 1 /* ; x */ FROM b_1.t",
     ],
 )
-def test_a_semicolon_without_a_statement_behind_it_is_no_second_statement(statement: bytes) -> None:
+def test_semicolon_without_a_further_statement_is_accepted(statement: bytes) -> None:
     assert parse_query(b"/* " + FIELDS + b" */ " + statement).statement == statement
 
 
 @given(st.binary(max_size=200))
-def test_any_text_is_read_or_refused(text: bytes) -> None:
-    for whole in (text, b"/* " + FIELDS + b" */ SELECT " + text):
+def test_arbitrary_text_is_parsed_or_rejected(text: bytes) -> None:
+    for query_text in (text, b"/* " + FIELDS + b" */ SELECT " + text):
         with contextlib.suppress(ProtocolError):
-            parse_query(whole)
+            parse_query(query_text)
 
 
 @pytest.mark.parametrize(
@@ -101,7 +101,7 @@
         (b"KILL QUERY x", None),
     ],
 )
-def test_kill_query_names_a_connection(text: bytes, target: int | None) -> None:
+def test_kill_query_yields_the_connection_id(text: bytes, target: int | None) -> None:
     assert parse_kill_query(text) == target
 
 
@@ -141,12 +141,12 @@
         (b"))))FROM a_1.t", 0),
     ],
 )
-def test_table_group(statement: bytes, group: int) -> None:
+def test_table_group_is_that_of_the_first_grouped_table(statement: bytes, group: int) -> None:
     assert find_table_group(statement) == group
     assert scan_table_group(statement) == group
 
 
-WORDS = st.sampled_from(
+SQL_FRAGMENTS = st.sampled_from(
     [
         b"SELECT",
         b"FROM",
@@ -164,7 +164,7 @@
 )
 
 
-@given(st.lists(WORDS, max_size=12))
-def test_the_usual_statement_is_read_alike_at_one_go_and_token_by_token(words: list[bytes]) -> None:
-    statement = b"SELECT x " + b" ".join(words)
+@given(st.lists(SQL_FRAGMENTS, max_size=12))
+def test_fast_path_and_token_scan_find_the_same_table_group(fragments: list[bytes]) -> None:
+    statement = b"SELECT x " + b" ".join(fragments)
     assert find_table_group(statement) == scan_table_group(statement)
