--- a/micahold/routing/__init__.py
+++ b/micahold/routing/__init__.py
@@ -1,1 +1,1 @@
-"""The exchange: the only place where client side and engine side meet."""
+"""Connects client sessions and engine connections through the controller; they meet nowhere else."""
