--- a/micahold/membership/__init__.py
+++ b/micahold/membership/__init__.py
@@ -1,5 +1,5 @@
-"""Gossip membership: instances discover each other, detect failed ones, and share what they see of engines.
+"""Gossip membership among instances: discovery, failure detection and shared failure reports about engines.
 
-The modules are pure and joined by ``group``; only ``signing`` and ``service`` do cryptography and I/O.
-docs/gossip.md describes the design.
+``group`` combines the pure modules, which do no I/O; ``signing`` (key files) and ``service`` (sockets) are
+thin I/O layers around them. The design is described in docs/gossip.md.
 """
--- a/micahold/membership/dissemination.py
+++ b/micahold/membership/dissemination.py
@@ -12,7 +12,7 @@
 from math import ceil, log10
 
 from micahold.membership.traffic import Priority
-from micahold.membership.wire import Signed
+from micahold.membership.wire import SignedStatement
 
 RETRANSMIT_MULTIPLIER = 4  # the retransmission limit is this times ceil(log10(n + 1)) for n members
 MAX_QUEUED_STATEMENTS = 2048  # bounds memory
@@ -28,7 +28,7 @@
     """A statement to send, and how many times it has been sent so far."""
 
     key: Hashable
-    signed: Signed
+    signed: SignedStatement
     priority: Priority
     transmissions: int = 0
 
@@ -40,7 +40,7 @@
         self.statements: dict[Hashable, QueuedStatement] = {}
         self._queues: dict[tuple[int, int], dict[Hashable, QueuedStatement]] = {}
 
-    def add(self, key: Hashable, signed: Signed, priority: Priority) -> None:
+    def add(self, key: Hashable, signed: SignedStatement, priority: Priority) -> None:
         """Queue a statement in place of an older one under its key; no effect where it is queued already."""
         queued = self.statements.get(key)
         if queued is not None:
@@ -52,7 +52,7 @@
             # Drop the least valuable: lowest priority, most often sent, oldest.
             self._remove(next(iter(self._queues[max(self._queues)].values())))
 
-    def count_duplicate(self, key: Hashable, signed: Signed) -> None:
+    def count_duplicate(self, key: Hashable, signed: SignedStatement) -> None:
         """Count a statement as sent once when another member sends it here: one member more has it.
 
         Feedback as in Demers et al. (1987): statements that every member has stop by themselves. Refutations
@@ -105,7 +105,7 @@
             if priority > lowest:
                 break
             for statement in reversed(self._queues[priority, transmissions].values()):
-                length = statement.signed.length()
+                length = statement.signed.size_bound()
                 if length <= available_bytes and statement.signed.origin != receiver:
                     available_bytes -= length
                     selected.append(statement)
--- a/tests/test_membership_cores.py
+++ b/tests/test_membership_cores.py
@@ -24,10 +24,12 @@
 NOW = 1_700_000_000.0
 
 
-def sign(origin: str, kind: wire.Kind, body: wire.Record | wire.Accusation | wire.Testimony) -> wire.Signed:
+def sign(
+    origin: str, kind: wire.StatementKind, body: wire.MemberRecord | wire.SuspicionReport | wire.FailureReport
+) -> wire.SignedStatement:
     data = wire.encode(body)
     signer = QuickHand("k1", secret_of(origin))
-    return wire.Signed(
+    return wire.SignedStatement(
         kind, origin, "k1", data, signer.sign(0.0, wire.signed_bytes(kind, origin, "k1", data))[1]
     )
 
@@ -142,7 +144,7 @@
 def test_statements_are_sent_up_to_the_retransmission_limit_least_sent_and_newest_first() -> None:
     queue, sent = DisseminationQueue(), dict[str, int]()
     for number in range(30):
-        statement = sign(f"m{number}", wire.Kind.RECORD, wire.Record(1, "h", 1))
+        statement = sign(f"m{number}", wire.StatementKind.MEMBER_RECORD, wire.MemberRecord(1, "h", 1))
         queue.add(("record", statement.origin), statement, Priority.FORWARDED)
     assert [queued.signed.origin for queued in queue.select(1000, 12)][:2] == ["m29", "m28"]
     assert [queued.signed.origin for queued in queue.select(1000, 12, receiver="m29")][:2] == ["m28", "m27"]
@@ -164,7 +166,9 @@
         ("own", Priority.OWN),
         ("refuted", Priority.REFUTATION),
     ):
-        queue.add(origin, sign(origin, wire.Kind.RECORD, wire.Record(1, "h", 1)), priority)
+        queue.add(
+            origin, sign(origin, wire.StatementKind.MEMBER_RECORD, wire.MemberRecord(1, "h", 1)), priority
+        )
     assert [queued.signed.origin for queued in queue.select(1000, 9)] == ["refuted", "own", "other"]
     assert [queued.signed.origin for queued in queue.select(1000, 9, lowest=Priority.REFUTATION)] == [
         "refuted"
@@ -174,10 +178,10 @@
 def test_the_queue_is_bounded_and_duplicates_count_as_transmissions_except_for_refutations() -> None:
     queue = DisseminationQueue()
     for number in range(MAX_QUEUED_STATEMENTS + 100):
-        statement = sign(f"m{number}", wire.Kind.RECORD, wire.Record(1, "h", 1))
+        statement = sign(f"m{number}", wire.StatementKind.MEMBER_RECORD, wire.MemberRecord(1, "h", 1))
         queue.add(number, statement, Priority.FORWARDED)
     assert len(queue) == MAX_QUEUED_STATEMENTS
-    duplicate = sign("x", wire.Kind.RECORD, wire.Record(1, "h", 1))
+    duplicate = sign("x", wire.StatementKind.MEMBER_RECORD, wire.MemberRecord(1, "h", 1))
     queue = DisseminationQueue()
     queue.add("x", duplicate, Priority.FORWARDED)
     for _ in range(3):
@@ -195,14 +199,18 @@
     member_list = MemberList("me", period)
     for name in names:
         member_list.apply_record(
-            NOW, sign(name, wire.Kind.RECORD, wire.Record(10, name, 1)), wire.Record(10, name, 1)
+            NOW,
+            sign(name, wire.StatementKind.MEMBER_RECORD, wire.MemberRecord(10, name, 1)),
+            wire.MemberRecord(10, name, 1),
         )
     return member_list
 
 
 def accuse(member_list: MemberList, now: float, accuser: str, subject: str, incarnation: int = 10) -> bool:
-    accusation = wire.Accusation(subject, incarnation, int(now * 1000))
-    return member_list.apply_accusation(now, sign(accuser, wire.Kind.ACCUSATION, accusation), accusation)[0]
+    accusation = wire.SuspicionReport(subject, incarnation, int(now * 1000))
+    return member_list.apply_accusation(
+        now, sign(accuser, wire.StatementKind.SUSPICION_REPORT, accusation), accusation
+    )[0]
 
 
 def test_a_member_is_declared_dead_only_when_its_suspicion_expires() -> None:
@@ -234,7 +242,9 @@
     member_list = member_list_of("a", "b", "c")
     accuse(member_list, NOW, "b", "a")
     member_list.apply_record(
-        NOW + 1, sign("a", wire.Kind.RECORD, wire.Record(11, "a", 1)), wire.Record(11, "a", 1)
+        NOW + 1,
+        sign("a", wire.StatementKind.MEMBER_RECORD, wire.MemberRecord(11, "a", 1)),
+        wire.MemberRecord(11, "a", 1),
     )
     assert member_list.members["a"].status is Status.ALIVE
     assert not accuse(member_list, NOW + 2, "c", "a", 10)
@@ -247,8 +257,8 @@
     member_list = member_list_of("a", "b", "c")
     for incarnation in range(10, 18):
         assert accuse(member_list, NOW, "b", "a", incarnation)
-        newer_record = wire.Record(incarnation + 1, "a", 1)
-        member_list.apply_record(NOW, sign("a", wire.Kind.RECORD, newer_record), newer_record)
+        newer_record = wire.MemberRecord(incarnation + 1, "a", 1)
+        member_list.apply_record(NOW, sign("a", wire.StatementKind.MEMBER_RECORD, newer_record), newer_record)
     assert not accuse(member_list, NOW, "b", "a", 18)
     assert accuse(member_list, NOW, "c", "a", 18)
     assert member_list.is_credible(NOW + 31, "b")
@@ -263,21 +273,21 @@
 
 def test_incarnations_never_decrease_and_only_a_members_own_record_makes_it_leave() -> None:
     member_list = member_list_of("a")
-    older, leave = wire.Record(9, "x", 1), wire.Record(10, "a", 1, left=True)
-    assert not member_list.apply_record(NOW, sign("a", wire.Kind.RECORD, older), older)[0]
-    assert member_list.apply_record(NOW, sign("a", wire.Kind.RECORD, leave), leave)[0]
+    older, leave = wire.MemberRecord(9, "x", 1), wire.MemberRecord(10, "a", 1, left=True)
+    assert not member_list.apply_record(NOW, sign("a", wire.StatementKind.MEMBER_RECORD, older), older)[0]
+    assert member_list.apply_record(NOW, sign("a", wire.StatementKind.MEMBER_RECORD, leave), leave)[0]
     assert not accuse(member_list, NOW, "b", "a")
-    rejoin = wire.Record(11, "a", 2)
-    changes = member_list.apply_record(NOW, sign("a", wire.Kind.RECORD, rejoin), rejoin)[1]
+    rejoin = wire.MemberRecord(11, "a", 2)
+    changes = member_list.apply_record(NOW, sign("a", wire.StatementKind.MEMBER_RECORD, rejoin), rejoin)[1]
     assert [(change.before, change.after) for change in changes] == [(Status.LEFT, Status.ALIVE)]
 
 
 def test_bucket_digests_differ_only_where_member_lists_differ() -> None:
     first, second = member_list_of(*"abcdefghij"), member_list_of(*"abcdefghij")
-    own = ("me", wire.Record(1, "me", 1))
+    own = ("me", wire.MemberRecord(1, "me", 1))
     assert not differing_buckets(first.bucket_digests(own), second.bucket_digests(own))
-    newer_record = wire.Record(11, "c", 1)
-    second.apply_record(NOW, sign("c", wire.Kind.RECORD, newer_record), newer_record)
+    newer_record = wire.MemberRecord(11, "c", 1)
+    second.apply_record(NOW, sign("c", wire.StatementKind.MEMBER_RECORD, newer_record), newer_record)
     differ = differing_buckets(first.bucket_digests(own), second.bucket_digests(own))
     assert len(differ) == 1 and 0 <= differ[0] < BUCKET_COUNT
     assert "c" in {statement.origin for statement in second.statements_in(differ)}
@@ -347,8 +357,8 @@
 def add_report(
     reports: FailureReports, now: float, origin: str, *rows: tuple[str, int, int], sequence: int = 0
 ) -> bool:
-    report = wire.Testimony(1, sequence or int(now * 1000), int(now * 1000), 5000, rows)
-    return reports.add_report(now, sign(origin, wire.Kind.TESTIMONY, report), report, now)
+    report = wire.FailureReport(1, sequence or int(now * 1000), int(now * 1000), 5000, rows)
+    return reports.add_report(now, sign(origin, wire.StatementKind.FAILURE_REPORT, report), report, now)
 
 
 ENGINES = {f"e{number}" for number in range(12)}
--- a/tests/test_membership_machine.py
+++ b/tests/test_membership_machine.py
@@ -17,7 +17,7 @@
 from micahold.membership.group import Group
 from micahold.membership.member_list import MemberList, Status, StatusChange
 from micahold.membership.traffic import RATE_WINDOW_S, EgressLimiter, Priority
-from micahold.membership.wire import Record, Signed
+from micahold.membership.wire import MemberRecord, SignedStatement
 
 ENGINES = {"e1", "e2", "e3"}
 RATE_BYTES_PER_S = 4096  # the smallest rate that can be set; low enough to bind in a group of this size
@@ -31,9 +31,9 @@
         super().__init__(*arguments)
         self.sent_sizes: list[tuple[float, int]] = []
 
-    def _send(self, now: float, *arguments: Any) -> bool:
+    def _send_datagram(self, now: float, *arguments: Any) -> bool:
         before = len(self.outbox)
-        sent = super()._send(now, *arguments)
+        sent = super()._send_datagram(now, *arguments)
         self.sent_sizes += [(now, len(datagram.data)) for datagram in self.outbox[before:]]
         return sent
 
@@ -55,7 +55,7 @@
 
     def run_for(self, seconds: float) -> None:
         for node in self.net.living():
-            node.group.listed(self.net.now, ENGINES, set())
+            node.group.update_engine_list(self.net.now, ENGINES, set())
         self.net.run(seconds)
 
     def honest(self) -> list[Node]:
@@ -99,7 +99,7 @@
         honest = self.honest()
         if honest:
             node = honest[index % len(honest)]
-            node.group.attempt_ended(self.net.now, engine, False)
+            node.group.record_attempt(self.net.now, engine, False)
 
     @invariant()
     def incarnations_never_decrease(self) -> None:
@@ -133,7 +133,7 @@
     @invariant()
     def reports_of_one_member_change_no_decision(self) -> None:
         for node in self.honest():
-            assert not node.group.verdict.failing and not node.group.verdict.draining
+            assert not node.group.snapshot.failing and not node.group.snapshot.draining
 
     @invariant()
     def traffic_stays_within_the_rate_in_every_window(self) -> None:
@@ -178,30 +178,30 @@
 
 
 def _no_refutation(patch: pytest.MonkeyPatch) -> None:
-    original = Group._renew
+    original = Group._renew_record
 
     def renew(group: Group, now: float, priority: Priority, left: bool = False) -> None:
         if left:
             original(group, now, priority, left)
 
-    patch.setattr(Group, "_renew", renew)
+    patch.setattr(Group, "_renew_record", renew)
 
 
 def _old_records_accepted(patch: pytest.MonkeyPatch) -> None:
     original = MemberList.apply_record
 
     def apply_record(
-        self: MemberList, now: float, signed: Signed, record: Record
+        self: MemberList, now: float, signed: SignedStatement, record: MemberRecord
     ) -> tuple[bool, list[StatusChange]]:
         if (member := self.members.get(signed.origin)) is not None:
             member.record = replace(member.record, incarnation=0)
         return original(self, now, signed, record)
 
     patch.setattr(MemberList, "apply_record", apply_record)
-    patch.setattr(Group, "_hear_record", _apply_any_record)
+    patch.setattr(Group, "_handle_record", _apply_any_record)
 
 
-def _apply_any_record(self: Group, now: float, signed: Signed, record: Record) -> None:
+def _apply_any_record(self: Group, now: float, signed: SignedStatement, record: MemberRecord) -> None:
     if signed.origin != self.options.name:
         self.member_list.apply_record(now, signed, record)
 
