--- a/micahold/program/configuration.py
+++ b/micahold/program/configuration.py
@@ -9,7 +9,7 @@
 import orjson
 
 from micahold import interface as api
-from micahold.protocol.engine_list import ListNews, decode_news, parse_address
+from micahold.protocol.engine_list import EngineListEvent, decode_list_event, parse_address
 from micahold.settings import FormatError, decode_settings
 
 MAX_ACCEPTS_PER_ITERATION = 16  # connections accepted in one iteration of the reactor
@@ -31,7 +31,7 @@
     channel: tuple[str, int]
     seed: int
     settings: api.Settings
-    initial_list_events: tuple[ListNews, ...]
+    initial_list_events: tuple[EngineListEvent, ...]
     cursor: int
     sockets: int
     memory_mb: float = DEFAULT_MEMORY_MB
@@ -80,7 +80,9 @@
         settings = replace(settings, limits=replace(settings.limits, max_open_queries=max_open_queries))
         kinds = tuple(kind.name for kind in settings.engine_kinds)
         known = document.get("known") or {}
-        list_events = tuple(decode_news(event, settings.zones, kinds) for event in known.get("cmds") or ())
+        list_events = tuple(
+            decode_list_event(event, settings.zones, kinds) for event in known.get("cmds") or ()
+        )
         return Configuration(
             name=str(document.get("name", "")),
             listen=parse_address(str(document["listen"])),
--- a/micahold/program/front.py
+++ b/micahold/program/front.py
@@ -13,7 +13,7 @@
 from micahold.program.collector import GarbageCollector
 from micahold.program.configuration import Configuration
 from micahold.program.log import Log
-from micahold.protocol.engine_list import ListNews, parse_news
+from micahold.protocol.engine_list import EngineListEvent, parse_list_event
 from micahold.protocol.errors import ProtocolError
 from micahold.routing.exchange import Exchange
 from micahold.settings import FormatError
@@ -177,7 +177,7 @@
         """Apply an event of the engine list; False where it is unreadable."""
         settings = self.configuration.settings
         try:
-            list_event: ListNews = parse_news(
+            list_event: EngineListEvent = parse_list_event(
                 data, settings.zones, tuple(kind.name for kind in settings.engine_kinds)
             )
         except ProtocolError as error:
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -19,8 +19,8 @@
 from micahold.program.log import MAX_BUFFERED_BYTES, Log
 from micahold.settings import FormatError
 from micahold.transport.timers import MAX_CANCELLED_TIMERS, TimerQueue
-from tests.mysql_client import ask, login, packets
-from tests.network import Network, Transport
+from tests.mysql_client import decode_packets, login_packet, query_with_fields
+from tests.network import MemoryNetwork, MemoryTransport
 from tests.standins import configuration
 
 # Configuration
@@ -180,7 +180,7 @@
         self.callLater(0, call)
 
 
-class FrontHarness(Network):
+class FrontHarness(MemoryNetwork):
     """A started front with its log; ``stopped`` tells whether it has asked the reactor to stop."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
@@ -198,7 +198,7 @@
             self.stop,
         )
         self.front.start()
-        self.turn()
+        self.advance()
 
     def stop(self) -> None:
         self.stopped = True
@@ -206,16 +206,16 @@
     def phases(self) -> list[str]:
         return [fields["phase"] for event, fields in self.logged if event == "phase"]
 
-    def client(self) -> tuple[Any, Transport]:
-        session, transport = self.front.sessions.buildProtocol(None), Transport()
+    def client(self) -> tuple[Any, MemoryTransport]:
+        session, transport = self.front.sessions.buildProtocol(None), MemoryTransport()
         session.makeConnection(transport)
-        session.dataReceived(login())
+        session.dataReceived(login_packet())
         transport.clear()
         return session, transport
 
     def pass_time(self, seconds: float) -> None:
         for _ in range(round(seconds / 0.01)):
-            self.turn(0.01)
+            self.advance(0.01)
 
 
 class RecordingLog:
@@ -250,21 +250,21 @@
     harness.front.begin_shutdown()
     harness.pass_time(NOTICE_PERIOD_S / 2)
     session, transport = harness.client()
-    session.dataReceived(ask(wait=8000))
+    session.dataReceived(query_with_fields(wait=8000))
     harness.pass_time(NOTICE_PERIOD_S)
     assert not harness.stopped
     assert harness.front.phase is Phase.DRAINING
     harness.pass_time(3.0)
     assert harness.stopped
     # No engine answered: the client gets an error before the exit.
-    assert packets(transport.sent())[0][1][0] == 0xFF
+    assert decode_packets(transport.take_written())[0][1][0] == 0xFF
 
 
 def test_the_front_stops_as_soon_as_all_queries_are_answered(monkeypatch: pytest.MonkeyPatch) -> None:
     harness = FrontHarness(monkeypatch)
     session, _ = harness.client()
-    session.dataReceived(ask(wait=60000))
-    harness.turn()
+    session.dataReceived(query_with_fields(wait=60000))
+    harness.advance()
     harness.front.begin_shutdown()
     harness.pass_time(NOTICE_PERIOD_S + 0.1)
     assert not harness.stopped
@@ -277,8 +277,8 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     harness = FrontHarness(monkeypatch)
-    link = harness.links[0].up()
-    link.say(b"HTTP/1.1 200 OK\r\n\r\nid: 9\ndata: {}\n\n")
+    link = harness.connections[0].accept()
+    link.send(b"HTTP/1.1 200 OK\r\n\r\nid: 9\ndata: {}\n\n")
     assert "list_event_unreadable" in [event for event, _ in harness.logged]
     # A new connection requests the event once more, in case it was damaged in transit.
     assert link.transport.aborted
