--- a/micahold/laboratory/liars.py
+++ b/micahold/laboratory/liars.py
@@ -24,7 +24,7 @@
             self.report_sequence += 1
             said = wire.FailureReport(self.run, self.report_sequence, int(now * 1000), 5000, rows)
             signed = self._sign(now, StatementKind.FAILURE_REPORT, said)
-            self.dissemination.add(("testimony", self.options.name), signed, Priority.OWN)
+            self.dissemination.add(("failure_report", self.options.name), signed, Priority.OWN)
 
 
 class Flatterer(Slanderer):
@@ -48,7 +48,7 @@
     def _report_failures(self, now: float) -> None:
         for member in list(self.member_list):
             said = wire.SuspicionReport(member.name, member.record.incarnation, int(now * 1000))
-            key = ("accusation", member.name, self.options.name, member.record.incarnation)
+            key = ("suspicion_report", member.name, self.options.name, member.record.incarnation)
             self.dissemination.add(key, self._sign(now, StatementKind.SUSPICION_REPORT, said), Priority.OWN)
 
 
--- a/micahold/membership/group.py
+++ b/micahold/membership/group.py
@@ -307,7 +307,9 @@
         """Stop the dissemination of suspicions of earlier incarnations, which the new record refutes."""
         self.dissemination.retain(
             lambda key: (
-                not (isinstance(key, tuple) and key[:2] == ("accusation", name) and key[3] < incarnation)
+                not (
+                    isinstance(key, tuple) and key[:2] == ("suspicion_report", name) and key[3] < incarnation
+                )
             )
         )
 
@@ -334,7 +336,9 @@
         if member is None or member.record.incarnation != report.incarnation:
             return
         if member.suspicion is not None and accuser in member.suspicion.accusers:
-            self.dissemination.count_duplicate(("accusation", subject, accuser, report.incarnation), signed)
+            self.dissemination.count_duplicate(
+                ("suspicion_report", subject, accuser, report.incarnation), signed
+            )
             return
         if not self._is_signature_valid(now, signed):
             return
@@ -343,9 +347,9 @@
     def _apply_suspicion_report(
         self, now: float, signed: SignedStatement, report: wire.SuspicionReport, priority: Priority
     ) -> None:
-        is_new, changes = self.member_list.apply_accusation(now, signed, report)
+        is_new, changes = self.member_list.apply_suspicion_report(now, signed, report)
         if is_new:
-            key = ("accusation", report.subject, signed.origin, report.incarnation)
+            key = ("suspicion_report", report.subject, signed.origin, report.incarnation)
             self.dissemination.add(key, signed, priority)
         self.status_changes += changes
 
@@ -362,21 +366,21 @@
             return
         reporter = self.failure_reports.reporters.get(origin)
         if reporter is not None and (report.run, report.sequence, signed) in reporter.recent_statements:
-            self.dissemination.count_duplicate(("testimony", origin), signed)
+            self.dissemination.count_duplicate(("failure_report", origin), signed)
             return
         if not self._is_signature_valid(now, signed):
             return
         if self.failure_reports.add_report(now, signed, report, now - (age_s or 0.0)):
             equivocation = self.failure_reports.equivocations.get(origin)
             if equivocation is None:
-                self.dissemination.add(("testimony", origin), signed, Priority.FORWARDED)
+                self.dissemination.add(("failure_report", origin), signed, Priority.FORWARDED)
             else:
                 self.counts["liars_proven"] += 1
                 self.status_changes.append(
                     StatusChange(origin, None, Status.ALIVE, "two testimonies under one sequence")
                 )
                 for index, statement in enumerate(equivocation):
-                    self.dissemination.add(("proof", origin, index), statement, Priority.OWN)
+                    self.dissemination.add(("equivocation", origin, index), statement, Priority.OWN)
 
     def _handle_drain_report(self, now: float, signed: SignedStatement, report: wire.DrainReport) -> None:
         """Apply a member's drain report; reports of proven equivocators are ignored."""
@@ -822,7 +826,7 @@
             rows = rows[:-1]
             report = wire.FailureReport(self.run, self.report_sequence, at_ms, window_ms, rows)
         signed = self._sign(now, StatementKind.FAILURE_REPORT, report)
-        self.dissemination.add(("testimony", self.options.name), signed, Priority.OWN)
+        self.dissemination.add(("failure_report", self.options.name), signed, Priority.OWN)
         self._next_gossip_at = now
 
     def _update_snapshot(self, now: float) -> None:
--- a/micahold/membership/member_list.py
+++ b/micahold/membership/member_list.py
@@ -1,15 +1,15 @@
-"""The membership list: records, accusations, suspicion with a timeout before death, and refutation.
+"""The membership list: records, suspicion reports, suspicion with a timeout before death, and refutation.
 
 Follows SWIM (section 4.2) and Lifeguard (a suspicion timeout that shrinks with independent confirmations),
-changed where a lying member could do harm. A record is signed by the member that it describes and an
-accusation by its accuser, and no statement "is dead" exists: each member declares another dead only when a
-suspicion has expired in its own list. So no member can make statements for another, confirmations are counted
-by signature, and accusations of a member whose accusations keep being refuted are ignored.
+changed where a lying member could do harm. A record is signed by the member that it describes and a
+suspicion report by its accuser, and no statement "is dead" exists: each member declares another dead only
+when a suspicion has expired in its own list. So no member can make statements for another, confirmations are
+counted by signature, and suspicion reports of a member whose reports keep being refuted are ignored.
 
 | from | to | by |
 | --- | --- | --- |
 | (none) | ALIVE | a first record |
-| ALIVE | SUSPECT | an accusation of its current incarnation |
+| ALIVE | SUSPECT | a suspicion report of its current incarnation |
 | SUSPECT | ALIVE | a record of a higher incarnation, or a datagram from it since then, at expiry |
 | SUSPECT | DEAD | the suspicion expired |
 | DEAD | ALIVE | a record of a higher incarnation |
@@ -30,8 +30,8 @@
 MIN_SUSPICION_PERIODS = 5.0  # shortest suspicion timeout: this many probe periods times log10(group size)
 MAX_SUSPICION_FACTOR = 6.0  # the longest timeout, without confirmations, is this multiple of the shortest
 SUSPICION_CONFIRMATIONS = 3  # independent accusers beyond the first that reduce the timeout to the shortest
-MAX_ACCUSERS = 16  # accusations kept for each suspected member
-MAX_REFUTATIONS = 8.0  # an accuser whose decayed count of refuted accusations reaches this is ignored
+MAX_ACCUSERS = 16  # suspicion reports kept for each suspected member
+MAX_REFUTATIONS = 8.0  # an accuser whose decayed count of refuted suspicion reports reaches this is ignored
 REFUTATION_HALF_LIFE_S = 30.0
 BUCKET_COUNT = 64  # digests in the summary that starts an anti-entropy exchange
 
@@ -67,7 +67,7 @@
     accusers: dict[str, SignedStatement] = field(default_factory=dict)
 
     def confirm(self, accuser: str, signed: SignedStatement) -> bool:
-        """Add an accusation and recompute the expiry; return whether the accuser was counted as a new one."""
+        """Add a suspicion report and recompute the expiry; return whether its accuser is a new one."""
         if accuser in self.accusers or len(self.accusers) >= MAX_ACCUSERS:
             return False
         self.accusers[accuser] = signed
@@ -102,7 +102,7 @@
 
 @dataclass(slots=True)
 class RefutationScore:
-    """Count of the refuted accusations of one accuser, with exponential decay."""
+    """Count of the refuted suspicion reports of one accuser, with exponential decay."""
 
     score: float = 0.0
     updated_at: float = 0.0
@@ -113,7 +113,7 @@
         return decayed
 
     def increment(self, now: float) -> None:
-        """Count one more refuted accusation."""
+        """Count one more refuted suspicion report."""
         self.score, self.updated_at = self.score_at(now) + 1.0, now
 
 
@@ -166,12 +166,12 @@
         return 1 + len(self.live_names())
 
     def is_credible(self, now: float, accuser: str) -> bool:
-        """Whether accusations by this member are accepted: few of them were refuted recently."""
+        """Whether suspicion reports by this member are accepted: few of them were refuted recently."""
         refutations = self.refutation_scores.get(accuser)
         return refutations is None or refutations.score_at(now) < MAX_REFUTATIONS
 
     def record_refutation(self, now: float, accuser: str) -> None:
-        """Count an accusation by this member as wrong: the accused refuted it, or it accused this member."""
+        """Count a suspicion report by ``accuser`` as wrong: its subject refuted it, or is this member."""
         self.refutation_scores.setdefault(accuser, RefutationScore()).increment(now)
 
     # Changes
@@ -185,7 +185,7 @@
         self._invalidate()
         if after is not Status.SUSPECT:
             self.suspects.pop(member.name, None)
-            # The accusations of a dead member are kept, so that it can be sent one and refute it.
+            # The suspicion reports of a dead member are kept, so that it can be sent one and refute it.
             if after is not Status.DEAD:
                 member.suspicion = None
         return [StatusChange(member.name, before, after, reason)] if before is not after else []
@@ -214,14 +214,14 @@
         reason = "left" if record.left else "refuted" if known.status is Status.SUSPECT else "came_back"
         return True, self._set_status(now, known, after, reason)
 
-    def apply_accusation(
-        self, now: float, signed: SignedStatement, accusation: SuspicionReport
+    def apply_suspicion_report(
+        self, now: float, signed: SignedStatement, report: SuspicionReport
     ) -> tuple[bool, list[StatusChange]]:
-        """Apply an accusation, its signature verified; return whether it was new, and the changes."""
-        accuser, member = signed.origin, self.members.get(accusation.subject)
-        if member is None or accuser == accusation.subject:
+        """Apply a suspicion report, its signature verified; return whether it was new, and the changes."""
+        accuser, member = signed.origin, self.members.get(report.subject)
+        if member is None or accuser == report.subject:
             return False, []
-        if accusation.incarnation != member.record.incarnation:
+        if report.incarnation != member.record.incarnation:
             return False, []  # refuted already, or of an incarnation that is not known yet
         if member.status not in (Status.ALIVE, Status.SUSPECT):
             return False, []
@@ -308,7 +308,7 @@
         return b"".join(digest.to_bytes(8, "big") for digest in digests)
 
     def statements_in(self, buckets: Iterable[int]) -> list[SignedStatement]:
-        """Records of these buckets, and up to two accusations of each member, in the order of the buckets."""
+        """Records and up to two suspicion reports of each member in these buckets, in their order."""
         by_bucket: dict[int, list[SignedStatement]] = {bucket: [] for bucket in buckets}
         for member in self.members.values():
             if member.bucket in by_bucket:
--- a/tests/test_membership_cores.py
+++ b/tests/test_membership_cores.py
@@ -208,7 +208,7 @@
 
 def accuse(member_list: MemberList, now: float, accuser: str, subject: str, incarnation: int = 10) -> bool:
     accusation = wire.SuspicionReport(subject, incarnation, int(now * 1000))
-    return member_list.apply_accusation(
+    return member_list.apply_suspicion_report(
         now, sign(accuser, wire.StatementKind.SUSPICION_REPORT, accusation), accusation
     )[0]
 
