--- a/tests/test_gossip_loopback.py
+++ b/tests/test_gossip_loopback.py
@@ -26,7 +26,7 @@
     write_public_keys,
     write_signing_keys,
 )
-from tests.standins import Channel, Client, Engine, configuration, free_port, list_event, member, until
+from tests.standins import Channel, Client, Engine, configuration, free_port, list_event, member, wait_until
 
 ROOT = Path(__file__).parent.parent
 ROWS = 3
@@ -133,7 +133,9 @@
     fleet = Fleet(folder, 9, liars=1)
     try:
         fronts = fleet.names[:9]
-        until(lambda: all(fleet.live_members(name) == set(fleet.names) - {name} for name in fronts), 30.0)
+        wait_until(
+            lambda: all(fleet.live_members(name) == set(fleet.names) - {name} for name in fronts), 30.0
+        )
         clients = {name: Client(fleet.ports[name]) for name in fronts}
         answered, number = 0, 0
         for _ in range(8):
@@ -141,7 +143,7 @@
                 number += 1
                 answered += len(clients[name].ask(number, b"SELECT rows FROM s_3.t")) == ROWS
         assert answered == number
-        until(
+        wait_until(
             lambda: (
                 "g9"
                 in {
@@ -169,7 +171,7 @@
 def test_key_rotation_by_sighup_and_members_command(folder: Path) -> None:
     fleet = Fleet(folder, 3)
     try:
-        until(
+        wait_until(
             lambda: all(fleet.live_members(name) == set(fleet.names) - {name} for name in fleet.names), 20.0
         )
         own_keys, members_keys = str(folder / "g1.keys"), str(folder / "members.keys")
@@ -184,8 +186,8 @@
         assert [key.key_id for key in read_signing_keys(own_keys)] == ["k1", "k2"]
         for name in ("g0", "g2", "g1"):
             fleet.processes[name].send_signal(signal.SIGHUP)
-            until(partial(fleet.log_events, name, "operator_reload"))
-        until(
+            wait_until(partial(fleet.log_events, name, "operator_reload"))
+        wait_until(
             lambda: all(
                 _incarnation(fleet, front, "g1") == fleet.members_view("g1")["incarnation"]
                 for front in ("g0", "g2")
@@ -206,19 +208,19 @@
         assert runner.invoke(command, retire).exit_code == 0
         for name in fleet.names:
             fleet.processes[name].send_signal(signal.SIGHUP)
-        until(lambda: all(len(fleet.log_events(front, "operator_reload")) == 2 for front in fleet.names))
-        until(lambda: all(fleet.members_view(name)["counts"]["probes_good"] > 8 for name in fleet.names))
+        wait_until(lambda: all(len(fleet.log_events(front, "operator_reload")) == 2 for front in fleet.names))
+        wait_until(lambda: all(fleet.members_view(name)["counts"]["probes_good"] > 8 for name in fleet.names))
         assert all(fleet.live_members(name) == set(fleet.names) - {name} for name in fleet.names)
         # An unusable file changes nothing and does not stop the front.
         (folder / "g0.sexp").write_text("(gossip (rate")
         fleet.processes["g0"].send_signal(signal.SIGHUP)
-        until(lambda: fleet.log_events("g0", "operator_reload_refused"))
+        wait_until(lambda: fleet.log_events("g0", "operator_reload_refused"))
         assert fleet.processes["g0"].poll() is None
         # A leaving member announces it, so the others log "left" and the size bound falls.
         fleet.processes["g2"].send_signal(signal.SIGTERM)
         assert fleet.processes["g2"].wait(20) == 0
-        until(lambda: any(entry["now"] == "left" for entry in fleet.log_events("g1", "member")))
-        until(lambda: fleet.members_view("g1")["bound"] == 2)
+        wait_until(lambda: any(entry["now"] == "left" for entry in fleet.log_events("g1", "member")))
+        wait_until(lambda: fleet.members_view("g1")["bound"] == 2)
     finally:
         fleet.stop()
 
