--- a/tests/test_exchange.py
+++ b/tests/test_exchange.py
@@ -12,7 +12,7 @@
 from micahold.routing.exchange import Exchange
 from micahold.transport.clients import UnusableQueryError
 from tests import build
-from tests.network import PAGE, EngineSide, answer, news
+from tests.network import PAGE, EngineHarness, engine_list_event, http_response
 
 SETTINGS = build.settings(report_columns=("rif", "busy"))
 
@@ -50,7 +50,7 @@
         self.answers.append(("failed", text))
 
 
-class ExchangeHarness(EngineSide):
+class ExchangeHarness(EngineHarness):
     """An exchange whose engine list has ``a`` and ``b``."""
 
     def __init__(self) -> None:
@@ -69,8 +69,8 @@
             self.call_at_iteration_end,
             self.make_controller,
         )
-        self.exchange.apply_list_update(news(a="up", b="up"))
-        self.turn()
+        self.exchange.apply_list_update(engine_list_event(a="up", b="up"))
+        self.advance()
 
     def log(self, event: str, **fields: Any) -> None:
         self.logged.append((event, fields))
@@ -89,14 +89,14 @@
     def execute(self, *actions: api.Action) -> None:
         """Makes the controller return the actions for a batch with an empty list update."""
         self.controller.next_actions = list(actions)
-        self.exchange.apply_list_update(news(2, full=False))
-        self.turn()
+        self.exchange.apply_list_update(engine_list_event(2, full=False))
+        self.advance()
 
     def submit(self, number: int = 1, **changes: str) -> tuple[int, RecordingReply]:
         """Submits a query; returns its number and its recorded answers."""
         reply = RecordingReply()
         query_number = self.exchange.submit(make_query(number, **changes), reply)
-        self.turn()
+        self.advance()
         return query_number, reply
 
     def last_event(self) -> api.Event:
@@ -134,7 +134,7 @@
     harness = ExchangeHarness()
     for number in range(3):
         harness.exchange.submit(make_query(number), RecordingReply())
-    harness.turn()
+    harness.advance()
     assert [len(batch) for batch in harness.controller.batches] == [1, 3]
 
 
@@ -145,7 +145,7 @@
     harness = ExchangeHarness()
     with pytest.raises(UnusableQueryError):
         harness.exchange.submit(make_query(1, **changes), RecordingReply())
-    harness.turn()
+    harness.advance()
     assert len(harness.controller.batches) == 1
     assert harness.exchange.unanswered_count == 0
 
@@ -163,9 +163,11 @@
     harness = ExchangeHarness()
     query_number, reply = harness.submit()
     harness.execute(api.Send(query_number, "a"))
-    harness.links[0].up().say(answer(200, PAGE, X_Sheets="1", Srv_Load="inflight:7;util:0.5"))
+    harness.connections[0].accept().send(
+        http_response(200, PAGE, X_Sheets="1", Srv_Load="inflight:7;util:0.5")
+    )
     assert [kind for kind, _ in reply.answers] == ["served"]
-    harness.turn()
+    harness.advance()
     event = harness.last_event()
     assert isinstance(event, api.AttemptEnded)
     assert (event.query, event.attempt, event.engine, event.outcome) == (query_number, 0, "a", api.Outcome.OK)
@@ -198,8 +200,8 @@
     harness = ExchangeHarness()
     query_number, _ = harness.submit()
     harness.execute(api.Send(query_number, "a"))
-    harness.links[0].up().say(answer(202))
-    harness.turn()
+    harness.connections[0].accept().send(http_response(202))
+    harness.advance()
     assert harness.last_event() == api.AttemptStatus(query_number, 0, "a", api.AttemptStatusKind.ALIVE)
 
 
@@ -207,13 +209,13 @@
     harness = ExchangeHarness()
     query_number, reply = harness.submit()
     harness.execute(api.Send(query_number, "a"))
-    harness.links[0].up().say(answer(500))
-    harness.turn()
+    harness.connections[0].accept().send(http_response(500))
+    harness.advance()
     event = harness.last_event()
     assert isinstance(event, api.AttemptEnded)
     assert (event.outcome, event.query_settled) == (api.Outcome.ERROR, False)
     harness.execute(api.Send(query_number, "b"))
-    harness.links[1].up().say(answer(200, PAGE, X_Sheets="1"))
+    harness.connections[1].accept().send(http_response(200, PAGE, X_Sheets="1"))
     assert [kind for kind, _ in reply.answers] == ["served"]
 
 
@@ -223,10 +225,10 @@
     harness.execute(api.Send(query_number, "a"))
     harness.exchange.drop(query_number)
     harness.exchange.drop(query_number)
-    harness.turn()
+    harness.advance()
     assert harness.last_event() == api.QueryDropped(query_number)
-    harness.links[0].up().say(answer(200, PAGE, X_Sheets="1"))
-    harness.turn()
+    harness.connections[0].accept().send(http_response(200, PAGE, X_Sheets="1"))
+    harness.advance()
     assert not reply.answers
     assert not harness.exchange.open_queries
 
@@ -235,11 +237,11 @@
     harness = ExchangeHarness()
     query_number, _ = harness.submit()
     harness.execute(api.Send(query_number, "a"))
-    harness.links[0].up()
+    harness.connections[0].accept()
     harness.execute(api.Cancel(query_number, 0))
-    assert harness.links[1].up().transport.sent().startswith(b"DELETE ")
-    harness.links[1].say(answer(204))
-    harness.turn()
+    assert harness.connections[1].accept().transport.take_written().startswith(b"DELETE ")
+    harness.connections[1].send(http_response(204))
+    harness.advance()
     event = harness.last_event()
     assert isinstance(event, api.AttemptEnded)
     assert event.outcome is api.Outcome.CANCELLED
@@ -249,9 +251,9 @@
     harness = ExchangeHarness()
     query_number, _ = harness.submit()
     harness.execute(api.Send(query_number, "a", 999.0))
-    assert b"Via-Wait: 2000\r\n" in harness.links[0].up().transport.sent()
-    harness.turn(2.0)
-    harness.turn()
+    assert b"Via-Wait: 2000\r\n" in harness.connections[0].accept().transport.take_written()
+    harness.advance(2.0)
+    harness.advance()
     event = harness.last_event()
     assert isinstance(event, api.AttemptEnded)
     assert event.outcome is api.Outcome.TIMEOUT
@@ -262,21 +264,21 @@
     query_number, _ = harness.submit()
     for _ in range(SETTINGS.limits.max_attempts):
         harness.execute(api.Send(query_number, "a"))
-        harness.links[-1].refuse()
-    harness.turn()
-    link_count = len(harness.links)
+        harness.connections[-1].refuse()
+    harness.advance()
+    connection_count = len(harness.connections)
     harness.execute(api.Send(query_number, "a"))
-    harness.turn()
+    harness.advance()
     event = harness.last_event()
     assert isinstance(event, api.AttemptEnded)
     assert event.outcome is api.Outcome.NOT_STARTED
-    assert len(harness.links) == link_count
+    assert len(harness.connections) == connection_count
 
 
 def test_time_unread_counts_towards_the_wait() -> None:
     harness = ExchangeHarness()
     harness.exchange.submit(make_query(), RecordingReply(), waited=0.25)
-    harness.turn()
+    harness.advance()
     event = harness.last_event()
     assert isinstance(event, api.QueryArrived)
     assert event.deadline == 1.75
@@ -297,10 +299,10 @@
     harness = ExchangeHarness()
     harness.execute(api.SetTimer(5, 0.5))
     batches = len(harness.controller.batches)
-    harness.turn(0.4)
+    harness.advance(0.4)
     assert len(harness.controller.batches) == batches
-    harness.turn(0.2)
-    harness.turn()
+    harness.advance(0.2)
+    harness.advance()
     assert harness.last_event() == api.TimerFired(5)
 
 
@@ -308,19 +310,19 @@
     harness = ExchangeHarness()
     first, reply = harness.submit(1)
     harness.execute(api.Send(first, "a"))
-    link = harness.links[0].up()
+    connection = harness.connections[0].accept()
     harness.controller.error = RuntimeError("x")
     _, other_reply = harness.submit(2)
     assert [kind for kind, _ in reply.answers] == ["failed"]
     assert [kind for kind, _ in other_reply.answers] == ["failed"]
     assert "decisions_fault" in [event for event, _ in harness.logged]
-    harness.turn()
+    harness.advance()
     assert len(harness.controllers) == 2  # the new controller receives the engine list
     update = harness.controller.batches[0][0]
     assert isinstance(update, api.ListUpdate)
     assert [entry.engine for entry in update.entries] == ["a", "b"]
-    link.say(answer(200, PAGE, X_Sheets="1"))
-    harness.turn()
+    connection.send(http_response(200, PAGE, X_Sheets="1"))
+    harness.advance()
     assert len(reply.answers) == 1
     query_number, third_reply = harness.submit(3)
     harness.execute(api.Refuse(query_number))
@@ -337,11 +339,11 @@
 def test_query_that_the_controller_never_answers_fails_within_the_slack() -> None:
     harness = ExchangeHarness()
     _, reply = harness.submit()
-    harness.turn(2.0)
+    harness.advance(2.0)
     assert not reply.answers
-    harness.turn(SETTINGS.rules.answer_slack_s + 0.001)
+    harness.advance(SETTINGS.rules.answer_slack_s + 0.001)
     assert [kind for kind, _ in reply.answers] == ["failed"]
-    harness.turn()
+    harness.advance()
     assert isinstance(harness.last_event(), api.QueryDropped)
 
 
@@ -349,7 +351,7 @@
     harness = ExchangeHarness()
     query_numbers = [harness.submit(number)[0] for number in range(1, 7)]
     harness.execute(api.Refuse(query_numbers[0]), api.Fail(query_numbers[1]), api.Send(query_numbers[2], "a"))
-    harness.links[0].up().say(answer(200, PAGE, X_Sheets="1"))
+    harness.connections[0].accept().send(http_response(200, PAGE, X_Sheets="1"))
     harness.exchange.drop(query_numbers[3])
     counts = harness.counters.values
     answered = counts["queries_served"] + counts["queries_refused"] + counts["queries_failed"]
@@ -362,10 +364,10 @@
     query_number, reply = harness.submit(1)
     _, other_reply = harness.submit(2)
     harness.execute(api.Send(query_number, "a"))
-    harness.links[0].up()
+    harness.connections[0].accept()
     harness.exchange.fail_open_queries("server shutdown in progress")
     assert [reply.answers, other_reply.answers] == [[("failed", "server shutdown in progress")]] * 2
-    assert harness.links[1].up().transport.sent().startswith(b"DELETE ")
+    assert harness.connections[1].accept().transport.take_written().startswith(b"DELETE ")
 
 
 def test_wait_above_twice_the_class_deadline_is_rejected() -> None:
@@ -381,11 +383,11 @@
     harness = ExchangeHarness()
     query_number, _ = harness.submit(1)
     harness.execute(api.Send(query_number, "a"))
-    link = harness.links[0].up()
+    connection = harness.connections[0].accept()
     harness.execute(api.Refuse(query_number))
     with pytest.raises(UnusableQueryError):
         harness.exchange.submit(make_query(1), RecordingReply())
-    link.say(answer(500))
+    connection.send(http_response(500))
     harness.exchange.submit(make_query(1), RecordingReply())
 
 
@@ -394,26 +396,26 @@
     harness = ExchangeHarness()
     for number in range(300):
         name = f"a{number}"
-        harness.exchange.apply_list_update(news(2 + number, full=False, **{name: "up"}))
+        harness.exchange.apply_list_update(engine_list_event(2 + number, full=False, **{name: "up"}))
         query_number, reply = harness.submit(number + 1)
         harness.execute(api.Send(query_number, name))
-        link = harness.links[-1].up()
+        connection = harness.connections[-1].accept()
         if number % 3 == 0:
-            link.say(answer(200, PAGE, X_Sheets="1"))
+            connection.send(http_response(200, PAGE, X_Sheets="1"))
         elif number % 3 == 1:
-            link.lose()
+            connection.disconnect()
         else:
             harness.exchange.drop(query_number)
             harness.execute(api.Cancel(query_number, 0))
-        harness.exchange.apply_list_update(news(2 + number, full=False, **{name: "gone"}))
-        harness.turn(0.1)
-        for pending in harness.links:
+        harness.exchange.apply_list_update(engine_list_event(2 + number, full=False, **{name: "gone"}))
+        harness.advance(0.1)
+        for pending in harness.connections:
             if pending.protocol is None:
                 pending.protocol = object()
                 pending.time_out()
         assert len(reply.answers) <= 1
     for _ in range(100):
-        harness.turn(0.1)
+        harness.advance(0.1)
     assert len(harness.directory) == 2
     assert not harness.exchange.open_queries and not harness.exchange._open_ids
     assert set(harness.exchange._engine_entries) == {"a", "b"}
@@ -425,9 +427,9 @@
     harness = ExchangeHarness()
     query_number, reply = harness.submit(1, wait="9000")
     harness.execute(api.Send(query_number, "a"))
-    harness.links[0].up()
+    harness.connections[0].accept()
     harness.exchange.begin_shutdown(1.0)
-    harness.turn()
+    harness.advance()
     answer_by = harness.clock.seconds() + 1.0
     closing = harness.last_event()
     assert isinstance(closing, api.GatewayClosing) and closing.answer_by == answer_by
@@ -438,15 +440,15 @@
         and arrived.query == late_query
         and arrived.deadline == answer_by
     )
-    harness.turn(0.99)
+    harness.advance(0.99)
     assert not [
         event
         for batch in harness.controller.batches
         for event in batch
         if isinstance(event, api.AttemptEnded)
     ]
-    harness.turn(0.02)
-    harness.turn()
+    harness.advance(0.02)
+    harness.advance()
     ended = harness.last_event()
     assert isinstance(ended, api.AttemptEnded) and ended.outcome is api.Outcome.TIMEOUT
     assert not ended.query_settled and not reply.answers  # the controller gives the answer
