--- a/tests/test_chronicle_cores.py
+++ b/tests/test_chronicle_cores.py
@@ -120,7 +120,7 @@
 
 
 @pytest.mark.parametrize(
-    "record_type", list(rec.TYPES_BY_NUMBER.values()), ids=lambda record_type: record_type.__name__
+    "record_type", list(rec.TYPES_BY_NUMBER.values()), ids=lambda struct: struct.__name__
 )
 def test_every_record_type_decodes_with_added_fields_and_without_optional_ones(
     record_type: type[rec.Record],
