--- a/micahold/chronicle/records.py
+++ b/micahold/chronicle/records.py
@@ -1,8 +1,9 @@
-"""The records, one struct a kind: a kind keeps its number for ever, new fields come at the end.
+"""Record types of the event log, one struct for each kind of event.
 
-Arrays of msgpack: a reader passes over further fields that it does not know, and takes defaults for those
-that an older writer did not have. A kind that it does not know is skipped and counted by the caller. Times
-are Unix microseconds of the front's own clock.
+Records are msgpack arrays. A kind never changes its number, and new fields are only added at the end: a
+decoder ignores further fields, and uses the defaults for fields that an older writer did not have. For an
+unknown kind ``decode`` returns None, and the caller skips and counts the record. Times are Unix microseconds
+of the front's own clock.
 """
 
 from __future__ import annotations
@@ -11,152 +12,179 @@
 
 import msgspec
 
-Number = Annotated[int, msgspec.Meta(ge=0, le=2**63 - 1)]
+UnsignedInt63 = Annotated[int, msgspec.Meta(ge=0, le=2**63 - 1)]
 
 
 class Record(msgspec.Struct, frozen=True, array_like=True):
-    """What every record begins with."""
+    """Base class with the field that begins every record."""
 
-    at: Number
+    time_us: UnsignedInt63
 
 
 class RunStarted(Record, frozen=True, array_like=True):
+    """The front started a run: one lifetime of its process."""
+
     front: str
-    run: str
+    run_id: str
     version: str = ""
-    settings: str = ""  # digest of the configuration
+    settings_digest: str = ""  # digest of the configuration
 
 
 class RunEnded(Record, frozen=True, array_like=True):
-    why: str = ""
+    """The front ended its run."""
+
+    reason: str = ""
 
 
 class PhaseEntered(Record, frozen=True, array_like=True):
+    """The front entered a phase."""
+
     phase: str
 
 
-class ConfigurationTaken(Record, frozen=True, array_like=True):
-    what: tuple[str, ...] = ()
-    waits: tuple[str, ...] = ()
-    refused: str = ""
+class ConfigurationReload(Record, frozen=True, array_like=True):
+    """The configuration was reloaded: settings applied, settings that need a restart, or the rejection."""
 
+    applied: tuple[str, ...] = ()
+    pending_restart: tuple[str, ...] = ()
+    rejection: str = ""
+
+
+class EngineListChanged(Record, frozen=True, array_like=True):
+    """The front received a change of the engine list."""
 
-class ListChanged(Record, frozen=True, array_like=True):
     revision: int
-    kind: str
+    update_kind: str
     engines: tuple[tuple[str, str], ...] = ()  # engine, state
 
 
-class QueryTaken(Record, frozen=True, array_like=True):
-    """``deadline`` is a time of the same clock; ``worth`` what it earns if served in time."""
+class QueryAccepted(Record, frozen=True, array_like=True):
+    """The front took a query from a client.
+
+    ``query`` is the front's number of the query, also in its other records; ``query_id`` is the client's id,
+    which a retry repeats. ``deadline_us`` and ``soft_deadline_us`` are times of the front's clock. The query
+    earns ``worth`` if served in time and ``late_worth_share`` of it after the soft deadline, if there is one
+    (not 0).
+    """
 
     query: int
-    id: str
+    query_id: str
     query_class: str
     tenant: str = ""
     worth: float = 1.0
-    deadline: Number = 0
-    late_share: float = 0.0
-    aim: Number = 0
+    deadline_us: UnsignedInt63 = 0
+    late_worth_share: float = 0.0
+    soft_deadline_us: UnsignedInt63 = 0
 
 
 class AttemptSent(Record, frozen=True, array_like=True):
+    """The front sent an attempt of a query to an engine."""
+
     query: int
     attempt: int
     engine: str
 
 
 class AttemptEnded(Record, frozen=True, array_like=True):
-    """``stamp`` is the engine's own time of it, 0 where it tells none."""
+    """An attempt ended; ``engine_time_us`` is the engine's own timestamp, 0 where it sends none."""
 
     query: int
     attempt: int
     engine: str
     outcome: str
-    stamp: Number = 0
+    engine_time_us: UnsignedInt63 = 0
 
 
 class QueryHeld(Record, frozen=True, array_like=True):
+    """The front holds a query until it can be sent to an engine."""
+
     query: int
-    why: str = ""
+    reason: str = ""
 
 
 class QueryAnswered(Record, frozen=True, array_like=True):
-    """``how``: served, refused, failed, dropped."""
+    """A query ended; ``outcome`` is "served", "refused", "failed" or "dropped"."""
 
     query: int
-    how: str
-    why: str = ""
-    attempts: int = 0
+    outcome: str
+    reason: str = ""
+    attempt_count: int = 0
 
 
-class EngineJudged(Record, frozen=True, array_like=True):
-    """``state``: suspected, on trial, trusted, doubted by hearsay."""
+class EngineStateChanged(Record, frozen=True, array_like=True):
+    """The front's assessment of an engine changed.
+
+    ``state`` is "suspected", "on trial" (half-open), "trusted", or "doubted by hearsay" (peer reports).
+    """
 
     engine: str
     state: str
-    why: str = ""
+    reason: str = ""
 
 
 class TenantInDebt(Record, frozen=True, array_like=True):
+    """A tenant's token bucket went into debt, to ``bucket_level``."""
+
     tenant: str
-    level: float
+    bucket_level: float
+
 
+class MemberStatusChanged(Record, frozen=True, array_like=True):
+    """A member of the gossip group changed its status."""
 
-class MemberChanged(Record, frozen=True, array_like=True):
     name: str
     status: str
-    why: str = ""
+    reason: str = ""
 
 
 class Summary(Record, frozen=True, array_like=True):
-    """Once a second."""
+    """State of the front, written once a second."""
 
-    open: int
-    held: int
-    out: tuple[tuple[str, int], ...] = ()
+    open_queries: int
+    held_queries: int
+    in_flight: tuple[tuple[str, int], ...] = ()
     client_bytes: int = 0
     late_ms: int = 0
 
 
-class Missing(Record, frozen=True, array_like=True):
-    """So many records could not be kept: the buffer was full, or the disk did not take them."""
+class RecordsLost(Record, frozen=True, array_like=True):
+    """``count`` records were not written, because the buffer was full or the disk did not accept them."""
 
-    count: Number
-    why: str = ""
+    count: UnsignedInt63
+    reason: str = ""
 
 
-KINDS: dict[int, type[Record]] = {
+TYPES_BY_NUMBER: dict[int, type[Record]] = {
     1: RunStarted,
     2: RunEnded,
     3: PhaseEntered,
-    4: ConfigurationTaken,
-    5: ListChanged,
-    6: QueryTaken,
+    4: ConfigurationReload,
+    5: EngineListChanged,
+    6: QueryAccepted,
     7: AttemptSent,
     8: AttemptEnded,
     9: QueryHeld,
     10: QueryAnswered,
-    11: EngineJudged,
+    11: EngineStateChanged,
     12: TenantInDebt,
-    13: MemberChanged,
+    13: MemberStatusChanged,
     14: Summary,
-    15: Missing,
+    15: RecordsLost,
 }
-NUMBERS = {kind: number for number, kind in KINDS.items()}
+NUMBERS_BY_TYPE = {record_type: number for number, record_type in TYPES_BY_NUMBER.items()}
 _encode = msgspec.msgpack.Encoder().encode
 _decoders: dict[int, msgspec.msgpack.Decoder[Any]] = {
-    number: msgspec.msgpack.Decoder(kind) for number, kind in KINDS.items()
+    number: msgspec.msgpack.Decoder(record_type) for number, record_type in TYPES_BY_NUMBER.items()
 }
 
 
 def encode(record: Record) -> tuple[int, bytes]:
-    """Kind and payload."""
-    return NUMBERS[type(record)], _encode(record)
+    """Returns the kind number of a record and its msgpack payload."""
+    return NUMBERS_BY_TYPE[type(record)], _encode(record)
 
 
 def decode(kind: int, payload: bytes) -> Record | None:
-    """None for a kind, or a form of it, that this version does not know."""
+    """Decodes a payload; None for an unknown kind, or for a payload that does not fit the kind."""
     decoder = _decoders.get(kind)
     if decoder is None:
         return None
