--- a/micahold/commands/trial.py
+++ b/micahold/commands/trial.py
@@ -23,7 +23,7 @@
     from rich.console import Console
     from rich.table import Table as RichTable
 
-    from micahold.laboratory.gossip_trial import Table, everything
+    from micahold.laboratory.gossip_trial import Table, run_all
 
     try:
         members = tuple(int(one) for one in sizes.split(","))
@@ -36,15 +36,15 @@
     def show(table: Table) -> None:
         if not as_json:
             shown = RichTable(
-                *table.heads, title=table.title, caption=table.note or None, title_justify="left"
+                *table.headings, title=table.title, caption=table.note or None, title_justify="left"
             )
             for row in table.rows:
                 shown.add_row(*row)
             console.print(shown)
 
-    tables = everything(list(range(1, seeds + 1)), members, processes, show)
+    tables = run_all(list(range(1, seeds + 1)), members, processes, show)
     if as_json:
-        kept = {one.title: [dict(zip(one.heads, row, strict=True)) for row in one.rows] for one in tables}
+        kept = {one.title: [dict(zip(one.headings, row, strict=True)) for row in one.rows] for one in tables}
         click.echo(orjson.dumps({"seeds": seeds, "tables": kept}))
     else:
         console.print(f"seeds 1 to {seeds}; simulated, in virtual time")
--- a/micahold/laboratory/gossip_trial.py
+++ b/micahold/laboratory/gossip_trial.py
@@ -15,7 +15,7 @@
 
 from micahold.laboratory import liars
 from micahold.laboratory.gossip_network import Network, Node
-from micahold.laboratory.hearsay_model import HEARSAY, RULES_COMPARED, Fleet
+from micahold.laboratory.peer_report_model import HEARSAY, RULES_COMPARED, Fleet
 from micahold.membership.keyring import Keyring
 from micahold.membership.member_list import Status
 from micahold.membership.signing import Ed25519Signer, Ed25519Verifier, generate_key
@@ -28,7 +28,7 @@
     """A title, heads of columns, rows of figures ready to print, and what has to be said beside them."""
 
     title: str
-    heads: list[str]
+    headings: list[str]
     rows: list[list[str]]
     note: str = ""
 
@@ -47,11 +47,11 @@
 def detect(members: int, seed: int, kills: int) -> dict[str, Any]:
     """Kill one member after the other; times in periods (of 1 s), bytes a second of each member at rest."""
     net = Network(seed=seed)
-    net.group(members, warm=True)
+    net.start_group(members, converged=True)
     net.run(REST_S)
     begun = int(net.now)
     net.run(REST_S)
-    at_rest = [sum(one.seconds[begun + at] for at in range(10)) / 10 for one in net.living()]
+    at_rest = [sum(one.bytes_sent_by_second[begun + at] for at in range(10)) / 10 for one in net.live_nodes()]
     first: list[float] = []
     heard: list[float] = []
     buried: list[float] = []
@@ -72,23 +72,23 @@
         while net.now < begun_at + 120.0:
             net.run(step)
             passed = net.now - begun_at
-            seen = sum(knows(one, suspect) for one in net.living())
+            seen = sum(knows(one, suspect) for one in net.live_nodes())
             if seen and len(first) == kill:
                 first.append(passed)
             if seen == up and len(heard) == kill:
                 heard.append(passed)
                 step = 0.5
-            if len(heard) > kill and all(knows(one, dead) for one in net.living()):
+            if len(heard) > kill and all(knows(one, dead) for one in net.live_nodes()):
                 buried.append(passed)
                 break
-    peak = max(max(one.seconds.values(), default=0) for one in net.nodes.values())
+    peak = max(max(one.bytes_sent_by_second.values(), default=0) for one in net.nodes.values())
     return {
         "first": first,
         "heard": heard,
         "buried": buried,
         "rest": at_rest,
         "peak": peak,
-        "wrong": net.wrong_deaths(),
+        "wrong": net.false_deaths(),
     }
 
 
@@ -131,19 +131,21 @@
 ) -> tuple[int, int]:
     """Members buried though they lived, in all views: all, and those that were not slow themselves."""
     loss = {"5 in 100 lost": 0.05, "20 in 100 lost": 0.2}.get(kind, 0.0)
-    net = Network(seed=seed, loss=loss)
-    net.group(members, warm=True, lifeguard=lifeguard)
+    net = Network(seed=seed, loss_probability=loss)
+    net.start_group(members, converged=True, lifeguard=lifeguard)
     longest = {"5 still for up to 4 s": 4.0, "5 still for up to 10 s": 10.0}.get(kind, 0.0)
     slow = {f"m{one}" for one in range(5)} if longest else set()
 
     def stand_still(name: str) -> None:
         net.stall(name, net.random.uniform(0.5, longest))
-        net.at(net.now + net.random.uniform(longest + 0.5, 2 * longest), stand_still, name)
+        net.call_at(net.now + net.random.uniform(longest + 0.5, 2 * longest), stand_still, name)
 
     for name in sorted(slow):
-        net.at(net.now + net.random.uniform(0.0, 5.0), stand_still, name)
+        net.call_at(net.now + net.random.uniform(0.0, 5.0), stand_still, name)
     net.run(seconds)
-    wrong = [one.name for node in net.nodes.values() for _, one in node.news if one.after is Status.DEAD]
+    wrong = [
+        one.name for node in net.nodes.values() for _, one in node.status_changes if one.after is Status.DEAD
+    ]
     return len(wrong), sum(name not in slow for name in wrong)
 
 
@@ -171,7 +173,7 @@
 
 def slandered(number: int, rule: str, seed: int) -> dict[str, float]:
     """So many of ten call every engine failing for 30 s; healthy engines with one error in 200 attempts."""
-    fleet = Fleet(rule, seed, liars=number, liar=liars.Slanderer, sporadic=0.005)
+    fleet = Fleet(rule, seed, liars=number, liar=liars.FalseFailureReporter, sporadic=0.005)
     tally = fleet.watch(30.0)
     return {
         "shunned": len(tally.shunned_healthy),
@@ -225,7 +227,7 @@
 
 def failing_engine(rule: str, number: int, seed: int) -> dict[str, float]:
     """Ten gateways, sixteen engines; after 10 s one starts to fail fast, for 20 s."""
-    fleet = Fleet(rule, seed, liars=number, liar=liars.Slanderer)
+    fleet = Fleet(rule, seed, liars=number, liar=liars.FalseFailureReporter)
     fleet.net.run(10.0)
     fleet.failing = "e3"
     tally = fleet.watch(20.0)
@@ -287,13 +289,13 @@
     net = Network(seed=seed)
     ring = Keyring([keys[name].public_key(name) for name in names], Ed25519Verifier())
     for name in names:
-        net.add(name, ring, [("10.0.0.0", 7946)], signer=Ed25519Signer([keys[name]]))
+        net.start_member(name, ring, [("10.0.0.0", 7946)], signer=Ed25519Signer([keys[name]]))
     net.run(REST_S)
-    counted = sum(node.group.counts["signatures_checked"] for node in net.living())
+    counted = sum(node.group.counts["signatures_checked"] for node in net.live_nodes())
     begun = time.process_time()
     net.run(seconds)
     used = time.process_time() - begun
-    checked = sum(node.group.counts["signatures_checked"] for node in net.living()) - counted
+    checked = sum(node.group.counts["signatures_checked"] for node in net.live_nodes()) - counted
     each = 1000 * used / members / seconds
     rows = [[str(members), f"{each:.2f}", f"{checked / members / seconds:.1f}"]]
     heads = ["members", "ms CPU a second, each member", "signatures checked a second"]
@@ -302,7 +304,7 @@
     )
 
 
-def everything(
+def run_all(
     seeds: list[int], sizes: tuple[int, ...], processes: int, done: Callable[[Table], None]
 ) -> list[Table]:
     """All tables, each handed to ``done`` as it is ready."""
--- a/micahold/laboratory/liars.py
+++ b/micahold/laboratory/liars.py
@@ -11,7 +11,7 @@
 FORGED_ATTEMPTS = 50
 
 
-class Slanderer(Group):
+class FalseFailureReporter(Group):
     """Says of every engine that it fails, each second, whatever it sees; colluders are simply several."""
 
     failures = FORGED_ATTEMPTS
@@ -27,13 +27,13 @@
             self.dissemination.add(("testimony", self.options.name), signed, Priority.OWN)
 
 
-class Flatterer(Slanderer):
+class FalseHealthReporter(FalseFailureReporter):
     """Says of every engine that it is well."""
 
     failures = 0
 
 
-class Drainer(Group):
+class FalseDrainReporter(Group):
     """Says of every engine that it drains."""
 
     def _report_failures(self, now: float) -> None:
@@ -42,7 +42,7 @@
         self.dissemination.add(("drains", self.options.name), signed, Priority.OWN)
 
 
-class Accuser(Group):
+class FalseSuspicionReporter(Group):
     """Accuses every member, each second."""
 
     def _report_failures(self, now: float) -> None:
@@ -52,7 +52,7 @@
             self.dissemination.add(key, self._sign(now, StatementKind.SUSPICION_REPORT, said), Priority.OWN)
 
 
-class Equivocator(Slanderer):
+class Equivocator(FalseFailureReporter):
     """Tells one half of the group that engines fail and the other half, under the same sequence, that they
     don't.
     """
@@ -87,7 +87,7 @@
                 self.outbox.append(Datagram(member.address, data))
 
 
-class Withholder(Group):
+class NonForwardingMember(Group):
     """Passes nothing on that others said."""
 
     def _select_piggyback(self, now: float, level: Priority, name: str, taken: int) -> list[QueuedStatement]:
--- a/micahold/laboratory/lying_peer.py
+++ b/micahold/laboratory/lying_peer.py
@@ -12,7 +12,7 @@
 
 from twisted.internet import reactor as twisted_reactor
 
-from micahold.laboratory.liars import Slanderer
+from micahold.laboratory.liars import FalseFailureReporter
 from micahold.membership.service import GossipService
 from micahold.program.operator import group_options, read_settings_and_keys
 
@@ -24,7 +24,7 @@
     settings, hand, keyring = read_settings_and_keys(path)
     assert settings.gossip is not None and hand is not None and keyring is not None
     reactor: Any = twisted_reactor
-    group = Slanderer(group_options(settings.gossip, name, 1), hand, keyring, time.time(), 1)
+    group = FalseFailureReporter(group_options(settings.gossip, name, 1), hand, keyring, time.time(), 1)
     peer = GossipService(
         reactor, time.time, group, settings.gossip.listen, lambda *_, **__: None, lambda _: None
     )
--- a/micahold/laboratory/hearsay_model.py
+++ b/micahold/laboratory/peer_report_model.py
@@ -12,7 +12,7 @@
 
 from micahold import interface as api
 from micahold.controller import Controller
-from micahold.laboratory.gossip_network import GroupMaker, Network, Node
+from micahold.laboratory.gossip_network import GroupFactory, Network, Node
 from micahold.membership.controller_adapter import ControllerAdapter
 from micahold.membership.failure_reports import Assessment, assess
 from micahold.membership.group import Group
@@ -95,7 +95,7 @@
                 case api.Refuse() | api.Fail():
                     self.fleet.tally.refused += 1
                 case api.SetTimer(timer, delay):
-                    self.fleet.net.at(self.now + delay, self.tell, api.TimerFired(timer))
+                    self.fleet.net.call_at(self.now + delay, self.tell, api.TimerFired(timer))
                 case _:
                     pass
 
@@ -110,7 +110,7 @@
             estimated_cost_s=SERVICE_S,
             table_group=self.random.randrange(40),
         )
-        self.fleet.net.at(self.now + self.random.expovariate(self.fleet.rate), self.ask)
+        self.fleet.net.call_at(self.now + self.random.expovariate(self.fleet.rate), self.ask)
         self.tell(event)
 
     def _send(self, query: int, engine: str) -> None:
@@ -118,7 +118,7 @@
         spoilt = fails or self.random.random() < self.fleet.sporadic
         took = ERROR_S if fails else self.random.expovariate(1 / SERVICE_S)
         attempt = self.controller.queries[query].attempt_count - 1
-        self.fleet.net.at(self.now + took, self._ended, query, attempt, engine, spoilt, took)
+        self.fleet.net.call_at(self.now + took, self._ended, query, attempt, engine, spoilt, took)
 
     def _ended(self, query: int, attempt: int, engine: str, spoilt: bool, took: float) -> None:
         tally = self.fleet.tally
@@ -137,7 +137,7 @@
         events = self.adapter.take_events(self.now)
         if events:
             self.tell(*events)
-        self.fleet.net.at(self.now + TELL_S, self.tell_group)
+        self.fleet.net.call_at(self.now + TELL_S, self.tell_group)
 
     def _believe_any_peer(self) -> None:
         """The plain rule for comparison: what any member calls failing is put on trial at once."""
@@ -166,7 +166,7 @@
         engines: int = 16,
         rate: float = 60.0,
         liars: int = 0,
-        liar: GroupMaker = Group,
+        liar: GroupFactory = Group,
         sporadic: float = 0.0,
     ) -> None:
         self.rule, self.seed, self.gateways, self.rate, self.sporadic = rule, seed, gateways, rate, sporadic
@@ -175,10 +175,10 @@
         self.tally = Tally()
         self.net = Network(seed=seed)
         honest = gateways - liars
-        nodes = self.net.group(
+        nodes = self.net.start_group(
             gateways,
             lambda name: Group if int(name[1:]) < honest else liar,
-            warm=True,
+            converged=True,
             configured_gateways=gateways,
         )
         entries = tuple(api.EngineEntry(one) for one in self.engines)
@@ -187,8 +187,8 @@
             node.group.update_engine_list(self.net.now, set(self.engines), set())
         for one in self.gateways_:
             one.tell(api.ListUpdate(api.ListKind.RESTORED, 1, entries))
-            self.net.at(self.net.now + one.random.expovariate(rate), one.ask)
-            self.net.at(self.net.now + one.random.random() * TELL_S, one.tell_group)
+            self.net.call_at(self.net.now + one.random.expovariate(rate), one.ask)
+            self.net.call_at(self.net.now + one.random.random() * TELL_S, one.tell_group)
 
     def watch(self, seconds: float) -> Tally:
         """Let so much time pass, looking at what is on trial where each 20 ms."""
--- a/tests/test_membership_cores.py
+++ b/tests/test_membership_cores.py
@@ -8,7 +8,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from micahold.laboratory.gossip_network import QuickHand, quick_keyring, secret_of
+from micahold.laboratory.gossip_network import KeyedHashSigner, derive_secret, keyed_hash_keyring
 from micahold.membership import wire
 from micahold.membership.dissemination import MAX_QUEUED_STATEMENTS, DisseminationQueue, retransmission_limit
 from micahold.membership.drain_reports import CONFIRMATION_TIMEOUT_S, REPORTER_IGNORED_S, DrainReports
@@ -28,7 +28,7 @@
     origin: str, kind: wire.StatementKind, body: wire.MemberRecord | wire.SuspicionReport | wire.FailureReport
 ) -> wire.SignedStatement:
     data = wire.encode(body)
-    signer = QuickHand("k1", secret_of(origin))
+    signer = KeyedHashSigner("k1", derive_secret(origin))
     return wire.SignedStatement(
         kind, origin, "k1", data, signer.sign(0.0, wire.signed_bytes(kind, origin, "k1", data))[1]
     )
@@ -517,8 +517,10 @@
 
 
 def test_keys_are_valid_within_their_time_and_for_their_member_only() -> None:
-    signer = QuickHand("k2", secret_of("a", "k2"))
-    keyring = Keyring([PublicKey("a", "k2", secret_of("a", "k2"), NOW, NOW + 10)], quick_keyring([]).verifier)
+    signer = KeyedHashSigner("k2", derive_secret("a", "k2"))
+    keyring = Keyring(
+        [PublicKey("a", "k2", derive_secret("a", "k2"), NOW, NOW + 10)], keyed_hash_keyring([]).verifier
+    )
     signature = signer.sign(NOW, b"text")[1]
     assert keyring.signature_rejection(NOW, "a", "k2", b"text", signature) is None
     assert keyring.signature_rejection(NOW, "a", "k2", b"texT", signature) == "bad_signature"
--- a/tests/test_membership_machine.py
+++ b/tests/test_membership_machine.py
@@ -12,7 +12,7 @@
 from msgspec.structs import replace
 
 from micahold.laboratory import liars
-from micahold.laboratory.gossip_network import Network, Node, quick_keyring
+from micahold.laboratory.gossip_network import Network, Node, keyed_hash_keyring
 from micahold.membership import failure_reports, member_list
 from micahold.membership.group import Group
 from micahold.membership.member_list import MemberList, Status, StatusChange
@@ -45,21 +45,23 @@
     def begin(self, number: int, seed: int) -> None:
         self.net = Network(seed=seed)
         last = f"m{number - 1}"
-        self.net.group(
-            number, lambda name: liars.Slanderer if name == last else RecordingGroup, rate=RATE_BYTES_PER_S
+        self.net.start_group(
+            number,
+            lambda name: liars.FalseFailureReporter if name == last else RecordingGroup,
+            rate=RATE_BYTES_PER_S,
         )
-        self.keyring = quick_keyring(self.net.nodes)
+        self.keyring = keyed_hash_keyring(self.net.nodes)
         self.highest_incarnations: dict[tuple[str, int, str], int] = {}
         self.disturbed_until = self.net.now
         self.run_for(5.0)
 
     def run_for(self, seconds: float) -> None:
-        for node in self.net.living():
+        for node in self.net.live_nodes():
             node.group.update_engine_list(self.net.now, ENGINES, set())
         self.net.run(seconds)
 
     def honest(self) -> list[Node]:
-        return [node for node in self.net.living() if isinstance(node.group, RecordingGroup)]
+        return [node for node in self.net.live_nodes() if isinstance(node.group, RecordingGroup)]
 
     @rule(seconds=st.sampled_from([0.3, 2.0, 7.0, 20.0]))
     def time_passes(self, seconds: float) -> None:
@@ -68,12 +70,12 @@
     @rule(first=st.integers(0, 5), second=st.integers(0, 5), one_way=st.booleans())
     def cut(self, first: int, second: int, one_way: bool) -> None:
         names = sorted(self.net.nodes)
-        self.net.cut([names[first % len(names)]], [names[second % len(names)]], one_way)
+        self.net.cut_links([names[first % len(names)]], [names[second % len(names)]], one_way)
         self.disturbed_until = float("inf")
 
     @rule()
     def heal(self) -> None:
-        self.net.heal()
+        self.net.restore_links()
         self.disturbed_until = self.net.now
 
     @rule(index=st.integers(0, 5), seconds=st.sampled_from([0.5, 2.0, 5.0]))
@@ -90,7 +92,7 @@
         self.net.kill(name)
         self.run_for(pause)
         seeds = [node.address for node in self.net.nodes.values() if node.name != name]
-        self.net.add(name, self.keyring, seeds, maker, rate=RATE_BYTES_PER_S)
+        self.net.start_member(name, self.keyring, seeds, maker, rate=RATE_BYTES_PER_S)
         if self.disturbed_until < float("inf"):
             self.disturbed_until = max(self.disturbed_until, self.net.now)
 
@@ -105,19 +107,19 @@
     def incarnations_never_decrease(self) -> None:
         for node in self.net.nodes.values():
             for member in node.group.member_list:
-                key = (node.name, node.life, member.name)
+                key = (node.name, node.restart_count, member.name)
                 assert member.record.incarnation >= self.highest_incarnations.get(key, 0)
                 self.highest_incarnations[key] = member.record.incarnation
 
     @invariant()
     def no_death_without_an_expired_suspicion(self) -> None:
         for node in self.net.nodes.values():
-            for at, change in node.news:
+            for at, change in node.status_changes:
                 if change.after is Status.DEAD:
                     assert change.before is Status.SUSPECT and change.reason == "suspicion ran out"
                     suspected = [
                         when
-                        for when, earlier in node.news
+                        for when, earlier in node.status_changes
                         if earlier.name == change.name and earlier.after is Status.SUSPECT and when <= at
                     ]
                     suspected_at = max(suspected)
@@ -125,10 +127,10 @@
 
     @invariant()
     def reachable_members_are_not_declared_dead(self) -> None:
-        for node in self.net.living():
-            for at, change in node.news:
+        for node in self.net.live_nodes():
+            for at, change in node.status_changes:
                 if change.after is Status.DEAD and at > self.disturbed_until + SETTLED_S:
-                    assert not self.net.nodes[change.name].up
+                    assert not self.net.nodes[change.name].is_up
 
     @invariant()
     def reports_of_one_member_change_no_decision(self) -> None:
@@ -150,8 +152,8 @@
     def teardown(self) -> None:
         if not hasattr(self, "net"):
             return
-        self.net.heal()
-        assert self.net.run_until(self.net.agree, 180, 1.0) is not None, (
+        self.net.restore_links()
+        assert self.net.run_until(self.net.is_converged, 180, 1.0) is not None, (
             "member lists do not converge after the network healed"
         )
 
--- a/tests/test_membership_wire.py
+++ b/tests/test_membership_wire.py
@@ -7,7 +7,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from micahold.laboratory.gossip_network import START, Network, QuickHand, secret_of
+from micahold.laboratory.gossip_network import START_UNIX_S, KeyedHashSigner, Network, derive_secret
 from micahold.membership import wire
 from micahold.membership.group import Group
 from micahold.membership.wire import SignedStatement, StatementKind, WireError
@@ -18,13 +18,13 @@
 def converged_member(seed: int = 1) -> Group:
     """Return member m0 of a group of three after ten seconds, when all members have found each other."""
     network = Network(seed=seed)
-    network.group(3)
+    network.start_group(3)
     network.run(10)
     return network.nodes["m0"].group
 
 
 GROUP = converged_member()
-NOW = START + 10.0
+NOW = START_UNIX_S + 10.0
 
 
 def state(group: Group) -> list[object]:
@@ -39,7 +39,7 @@
 
 def signed_by_m1(body: bytes, kind: int = StatementKind.PACKET) -> bytes:
     """Encode a statement with a valid signature of m1, as any member with valid keys can send it."""
-    signer = QuickHand("k1", secret_of("m1"))
+    signer = KeyedHashSigner("k1", derive_secret("m1"))
     signature = signer.sign(0.0, wire.signed_bytes(kind, "m1", "k1", body))[1]
     return msgspec.msgpack.encode([kind, "m1", "k1", body, signature])
 
@@ -114,7 +114,7 @@
     record_before = group.member_list.members["m2"].record
     forged_record = wire.MemberRecord(2**60, "10.9.9.9", 1, left=True)
     body = wire.encode(forged_record)
-    signer = QuickHand("k1", secret_of("m1"))
+    signer = KeyedHashSigner("k1", derive_secret("m1"))
     data = wire.signed_bytes(StatementKind.MEMBER_RECORD, "m2", "k1", body)
     statement = SignedStatement(StatementKind.MEMBER_RECORD, "m2", "k1", body, signer.sign(0.0, data)[1])
     packet = wire.Packet("m0", 2**62, 1, int(NOW * 1000), (), (statement,))
@@ -124,7 +124,7 @@
 
 
 def test_signature_covers_the_kind_and_the_boundaries_between_fields() -> None:
-    body, signer = wire.encode(wire.MemberRecord(1, "a", 1)), QuickHand("k1", secret_of("m1"))
+    body, signer = wire.encode(wire.MemberRecord(1, "a", 1)), KeyedHashSigner("k1", derive_secret("m1"))
     signature = signer.sign(0.0, wire.signed_bytes(StatementKind.MEMBER_RECORD, "m1", "k1", body))[1]
     assert signature != signer.sign(0.0, wire.signed_bytes(StatementKind.DRAIN_REPORT, "m1", "k1", body))[1]
     assert wire.signed_bytes(1, "ab", "c", b"") != wire.signed_bytes(1, "a", "bc", b"")
