--- a/micahold/laboratory/gossip_network.py
+++ b/micahold/laboratory/gossip_network.py
@@ -1,8 +1,9 @@
-"""A network in virtual time that runs the members' own cores, with the failures that a real one has.
+"""A simulated network in virtual time that runs ``Group`` members, with the faults of a real network.
 
-Seeded: the same calls give the same course. Datagrams have delay, loss and duplicates; links can be cut one
-way or both; members can stall, be slow, be killed and restarted, and have clocks that are off. Full exchanges
-go over a connection that keeps order and loses nothing, but fails where a cut lies between.
+The simulation is deterministic: the same calls with the same seed give the same run. Datagrams are delayed,
+lost and duplicated; links can be cut in one or both directions; members can stall, respond slowly, be killed
+and restarted, and have clocks with an offset. Anti-entropy exchanges use a connection that keeps order and
+loses nothing, but fails where a link between the two members is cut.
 """
 
 from __future__ import annotations
@@ -23,39 +24,47 @@
 
 
 class KeyedHashSigner:
-    """A keyed hash in place of a signature: enough for virtual time, where nobody breaks keys, and much
-    faster.
+    """Signs with a keyed hash instead of a digital signature.
+
+    It is much faster, and sufficient in a simulation, where no member tries to forge signatures.
     """
 
-    def __init__(self, key: str, secret: bytes) -> None:
-        self.key, self.secret = key, secret
+    def __init__(self, key_id: str, secret: bytes) -> None:
+        self.key_id, self.secret = key_id, secret
 
     def sign(self, now: float, data: bytes) -> tuple[str, bytes]:
-        return self.key, blake2b(data, key=self.secret, digest_size=64).digest() if data else b""
+        """Return the id of the key and the signature of 64 bytes, which is empty for empty data."""
+        return self.key_id, blake2b(data, key=self.secret, digest_size=64).digest() if data else b""
 
 
 class KeyedHashVerifier:
-    """Checks what ``KeyedHashSigner`` signs; the "public" key is the secret."""
+    """Verifies signatures of ``KeyedHashSigner``; the "public" key is the shared secret."""
 
     def verify(self, public: bytes, data: bytes, signature: bytes) -> bool:
+        """Return whether ``signature`` is that of ``data`` under the secret ``public``."""
         return blake2b(data, key=public, digest_size=64).digest() == signature
 
 
-def derive_secret(name: str, key: str = "k1") -> bytes:
-    return blake2b(f"{name}/{key}".encode(), digest_size=32).digest()
+def derive_secret(name: str, key_id: str = "k1") -> bytes:
+    """Return the secret of one key of a member, the same on each call."""
+    return blake2b(f"{name}/{key_id}".encode(), digest_size=32).digest()
 
 
-def keyed_hash_keyring(names: Iterable[str], keys: Iterable[str] = ("k1",)) -> Keyring:
-    """The public keys of these members, all valid always."""
-    kept = list(keys)
+def keyed_hash_keyring(names: Iterable[str], key_ids: Iterable[str] = ("k1",)) -> Keyring:
+    """Return a keyring with these keys for each of the members, valid at any time."""
+    all_key_ids = list(key_ids)
     return Keyring(
-        [PublicKey(one, key, derive_secret(one, key)) for one in names for key in kept], KeyedHashVerifier()
+        [PublicKey(name, key_id, derive_secret(name, key_id)) for name in names for key_id in all_key_ids],
+        KeyedHashVerifier(),
     )
 
 
 @dataclass(slots=True)
 class Node:
-    """One member on the network; ``handling_time_s`` is the seconds that it takes over each thing it does."""
+    """One member on the network; it takes ``handling_time_s`` to handle each event.
+
+    ``status_changes`` and ``bytes_sent_by_second`` are kept when the member restarts.
+    """
 
     name: str
     address: Address
@@ -64,19 +73,22 @@
     handling_time_s: float = 0.0
     stalled_until: float = 0.0
     busy_until: float = 0.0
-    tick_at: float = float("inf")
+    next_tick_at: float = float("inf")
     is_up: bool = True
     restart_count: int = 0
     inbox: int = 0
     status_changes: list[tuple[float, StatusChange]] = field(default_factory=list)
-    bytes_sent_by_second: Counter[int] = field(default_factory=Counter)  # bytes out by second
+    bytes_sent_by_second: Counter[int] = field(default_factory=Counter)
 
 
 GroupFactory = Callable[[GroupOptions, Signer, Keyring, float, int], Group]
 
 
 class Network:
-    """All members of one group."""
+    """All members of one gossip group and the links between them.
+
+    ``datagram_filter``, if set, gets each sender and datagram and returns the datagrams to send instead.
+    """
 
     def __init__(
         self,
@@ -93,15 +105,17 @@
         self.now = START_UNIX_S
         self.nodes: dict[str, Node] = {}
         self.nodes_by_address: dict[Address, Node] = {}
-        self.cut_pairs: set[tuple[str, str]] = set()
+        self.cut_pairs: set[tuple[str, str]] = set()  # sender and receiver of each cut link
         self.datagram_filter: Callable[[str, Datagram], list[Datagram]] | None = None
         self.counts: Counter[str] = Counter()
+        # Time, sequence number, callback and its arguments; the number keeps events of one time in order.
         self._events: list[tuple[float, int, Callable[..., object], tuple[Any, ...]]] = []
-        self._serial = 0
+        self._event_sequence = 0
 
     # Members
 
     def address(self, name: str) -> Address:
+        """Return the address of a member, or the one that it gets if it is added next."""
         number = len(self.nodes) if name not in self.nodes else list(self.nodes).index(name)
         return f"10.{number >> 16 & 255}.{number >> 8 & 255}.{number & 255}", 7946
 
@@ -115,44 +129,56 @@
         clock_offset_s: float = 0.0,
         **options: Any,
     ) -> Node:
-        """Start a member, or start it again under the same name and address."""
-        before = self.nodes.get(name)
-        address = before.address if before is not None else self.address(name)
-        told = GroupOptions(name=name, address=address, seeds=tuple(seeds), **options)
-        hand = signer or KeyedHashSigner("k1", derive_secret(name))
-        group = group_factory(told, hand, keyring, self.now + clock_offset_s, self.random.getrandbits(60))
+        """Start a member, or restart it under the same name and address.
+
+        ``options`` are further fields of ``GroupOptions``.
+        """
+        previous = self.nodes.get(name)
+        address = previous.address if previous is not None else self.address(name)
+        group_options = GroupOptions(name=name, address=address, seeds=tuple(seeds), **options)
+        group_signer = signer or KeyedHashSigner("k1", derive_secret(name))
+        group = group_factory(
+            group_options, group_signer, keyring, self.now + clock_offset_s, self.random.getrandbits(60)
+        )
         node = Node(name, address, group, clock_offset_s)
-        node.restart_count = before.restart_count + 1 if before is not None else 0
-        node.status_changes = before.status_changes if before is not None else []
-        node.bytes_sent_by_second = before.bytes_sent_by_second if before is not None else Counter()
+        node.restart_count = previous.restart_count + 1 if previous is not None else 0
+        node.status_changes = previous.status_changes if previous is not None else []
+        node.bytes_sent_by_second = previous.bytes_sent_by_second if previous is not None else Counter()
         self.nodes[name] = self.nodes_by_address[address] = node
-        self._schedule(node)
+        self._schedule_tick(node)
         return node
 
     def start_group(
         self,
         number: int,
-        group_factory: Callable[[str], GroupFactory] | None = None,
+        select_factory: Callable[[str], GroupFactory] | None = None,
         converged: bool = False,
         **options: Any,
     ) -> list[Node]:
-        """Members ``m0``, ``m1``, ... with one seed; ``converged``: all know all from the start."""
-        names = [f"m{one}" for one in range(number)]
+        """Start ``number`` members named ``m0``, ``m1``, ..., all with ``m0`` as their seed.
+
+        ``select_factory`` gives the factory for each name. With ``converged`` all members have each other's
+        records from the start.
+        """
+        names = [f"m{index}" for index in range(number)]
         keyring = keyed_hash_keyring(names)
         seeds = (("10.0.0.0", 7946),)
         nodes = [
             self.start_member(
-                one, keyring, seeds, (group_factory(one) if group_factory else Group), **options
+                name, keyring, seeds, (select_factory(name) if select_factory else Group), **options
             )
-            for one in names
+            for name in names
         ]
         if converged:
             self.mark_converged(nodes)
         return nodes
 
     def mark_converged(self, nodes: list[Node]) -> None:
-        """All know all, and what each would say of itself has been said."""
-        records = [(one.group.own_record, one.group.record) for one in nodes]
+        """Give all nodes each other's records and clear what they have queued for dissemination.
+
+        Contacts to seeds are delayed by 60 s.
+        """
+        records = [(node.group.own_record, node.group.record) for node in nodes]
         for node in nodes:
             for signed, record in records:
                 if signed.origin != node.name:
@@ -163,95 +189,106 @@
             node.group._next_seed_at += 60.0
 
     def kill(self, name: str) -> None:
-        """Gone without a word."""
+        """Stop a member without an announcement to the group."""
         self.nodes[name].is_up = False
 
     def stall(self, name: str, seconds: float) -> None:
-        """The process stands still; what comes for it waits in its sockets."""
+        """Suspend a member's process; what arrives meanwhile is handled afterwards."""
         self.nodes[name].stalled_until = self.now + seconds
 
-    def cut_links(self, these: Iterable[str], those: Iterable[str], one_way: bool = False) -> None:
-        others = list(those)
-        for one in these:
-            for other in others:
-                self.cut_pairs.add((one, other))
+    def cut_links(self, senders: Iterable[str], receivers: Iterable[str], one_way: bool = False) -> None:
+        """Cut the links from all senders to all receivers, and those back unless ``one_way``."""
+        receiver_names = list(receivers)
+        for sender in senders:
+            for receiver in receiver_names:
+                self.cut_pairs.add((sender, receiver))
                 if not one_way:
-                    self.cut_pairs.add((other, one))
+                    self.cut_pairs.add((receiver, sender))
 
     def restore_links(self) -> None:
+        """Restore all cut links."""
         self.cut_pairs.clear()
 
     # Time
 
-    def call_at(self, when: float, act: Callable[..., object], *arguments: Any) -> None:
-        """``act`` at that moment of the virtual clock."""
-        self._serial += 1
-        heappush(self._events, (when, self._serial, act, arguments))
+    def call_at(self, when: float, callback: Callable[..., object], *arguments: Any) -> None:
+        """Schedule ``callback`` for a time of the virtual clock."""
+        self._event_sequence += 1
+        heappush(self._events, (when, self._event_sequence, callback, arguments))
 
     def run(self, seconds: float) -> None:
-        """Let so much time pass."""
+        """Advance the virtual clock by ``seconds`` and run all events that are due."""
         until = self.now + seconds
         while self._events and self._events[0][0] <= until:
-            when, _, act, arguments = heappop(self._events)
+            when, _, callback, arguments = heappop(self._events)
             self.now = max(self.now, when)
-            act(*arguments)
+            callback(*arguments)
         self.now = until
 
     def run_until(self, condition: Callable[[], bool], timeout_s: float, step_s: float = 0.1) -> float | None:
-        """Seconds until ``condition`` holds, checked each ``step_s``; None after ``timeout_s``."""
-        begun = self.now
-        while self.now < begun + timeout_s:
+        """Run until ``condition`` holds, which is checked every ``step_s``.
+
+        Return the seconds that this took, or None if it did not hold within ``timeout_s``.
+        """
+        started_at = self.now
+        while self.now < started_at + timeout_s:
             self.run(step_s)
             if condition():
-                return self.now - begun
+                return self.now - started_at
         return None
 
-    def _ready(self, node: Node, act: Callable[..., None], *arguments: Any) -> bool:
-        """False where the member stands still or is busy: the act comes again later."""
-        free = max(node.stalled_until, node.busy_until)
-        if free > self.now + 1e-9:
-            self.call_at(free, act, *arguments)
+    def _begin_handling(self, node: Node, callback: Callable[..., None], *arguments: Any) -> bool:
+        """Return whether the node can handle an event now; otherwise reschedule ``callback``.
+
+        A node that is stalled or still handles an earlier event cannot.
+        """
+        available_at = max(node.stalled_until, node.busy_until)
+        if available_at > self.now + 1e-9:
+            self.call_at(available_at, callback, *arguments)
             return False
         node.busy_until = self.now + node.handling_time_s
         return True
 
-    def _schedule(self, node: Node) -> None:
+    def _schedule_tick(self, node: Node) -> None:
         due = max(self.now + 1e-4, node.group.due() - node.clock_offset_s)
-        if due < node.tick_at - 1e-6 or node.tick_at <= self.now:
-            node.tick_at = due
+        if due < node.next_tick_at - 1e-6 or node.next_tick_at <= self.now:
+            node.next_tick_at = due
             self.call_at(due, self._tick, node, due)
 
     def _tick(self, node: Node, due: float) -> None:
-        if not node.is_up or node.tick_at != due or self.nodes[node.name] is not node:
+        """Call ``tick`` unless the node was killed or restarted, or its tick was rescheduled."""
+        if not node.is_up or node.next_tick_at != due or self.nodes[node.name] is not node:
             return
-        if self._ready(node, self._tick, node, due):
-            node.tick_at = float("inf")
+        if self._begin_handling(node, self._tick, node, due):
+            node.next_tick_at = float("inf")
             node.group.tick(self.now + node.clock_offset_s)
             self._process_output(node)
 
     def _process_output(self, node: Node) -> None:
-        """Carry out what the core wants after something happened to it."""
+        """Take what the group has collected: datagrams, exchanges to begin and status changes."""
         group = node.group
         if group.outbox:
-            sent, group.outbox = group.outbox, []
-            for datagram in sent:
-                for one in self.datagram_filter(node.name, datagram) if self.datagram_filter else (datagram,):
-                    self.send(node, one)
+            outbox, group.outbox = group.outbox, []
+            for datagram in outbox:
+                for filtered in (
+                    self.datagram_filter(node.name, datagram) if self.datagram_filter else (datagram,)
+                ):
+                    self.send(node, filtered)
         if group.exchange_targets:
-            wanted, group.exchange_targets = group.exchange_targets, []
-            for name, address in wanted:
-                first = group.begin_exchange(self.now + node.clock_offset_s, name)
-                if first is not None:
-                    self._frame(node, address, first)
+            targets, group.exchange_targets = group.exchange_targets, []
+            for name, address in targets:
+                first_frame = group.begin_exchange(self.now + node.clock_offset_s, name)
+                if first_frame is not None:
+                    self._send_frame(node, address, first_frame)
         if group.status_changes:
-            node.status_changes += [(self.now, one) for one in group.status_changes]
+            node.status_changes += [(self.now, change) for change in group.status_changes]
             group.status_changes.clear()
-        self._schedule(node)
+        self._schedule_tick(node)
 
     # Delivery
 
     def send(self, node: Node, datagram: Datagram) -> None:
-        """A datagram leaves a member."""
+        """Send a datagram from a node, with delay, loss and duplicates."""
         node.bytes_sent_by_second[int(self.now)] += len(datagram.data)
         target = self.nodes_by_address.get(datagram.address)
         if (
@@ -274,53 +311,58 @@
         node = self.nodes[name]
         if not node.is_up:
             return
-        if self._ready(node, self._deliver, name, data, source):
+        if self._begin_handling(node, self._deliver, name, data, source):
             node.group.receive(self.now + node.clock_offset_s, data, source)
             self._process_output(node)
 
-    def _frame(self, node: Node, address: Address, data: bytes) -> None:
-        """One frame of a full exchange, over a connection."""
+    def _send_frame(self, node: Node, address: Address, data: bytes) -> None:
+        """Send one frame of an anti-entropy exchange, over a connection.
+
+        It takes two delays and is dropped if the link is cut in either direction.
+        """
         node.bytes_sent_by_second[int(self.now)] += len(data)
         target = self.nodes_by_address.get(address)
         if target is None or {(node.name, target.name), (target.name, node.name)} & self.cut_pairs:
             return
         self.call_at(
             self.now + 2 * self.random.uniform(*self.delay_range_s),
-            self._take_frame,
+            self._deliver_frame,
             target.name,
             data,
             node.name,
         )
 
-    def _take_frame(self, name: str, data: bytes, sender: str) -> None:
+    def _deliver_frame(self, name: str, data: bytes, sender: str) -> None:
         node, source = self.nodes[name], self.nodes[sender]
-        if node.is_up and self._ready(node, self._take_frame, name, data, sender):
+        if node.is_up and self._begin_handling(node, self._deliver_frame, name, data, sender):
             answers = node.group.handle_frame(self.now + node.clock_offset_s, data, (source.address[0], 0))
             for answer in answers:
-                self._frame(node, source.address, answer)
+                self._send_frame(node, source.address, answer)
             self._process_output(node)
 
-    # Views for trials and tests
+    # Views for experiments and tests
 
     def live_nodes(self) -> list[Node]:
-        return [one for one in self.nodes.values() if one.is_up]
+        """Return the nodes that have not been killed."""
+        return [node for node in self.nodes.values() if node.is_up]
 
     def status(self, viewer: str, name: str) -> Status | None:
+        """Return the status of a member in the list of ``viewer``, or None if it is not listed."""
         member = self.nodes[viewer].group.member_list.members.get(name)
         return member.status if member is not None else None
 
     def is_converged(self) -> bool:
-        """Whether every living member knows every other as alive."""
-        up = self.live_nodes()
+        """Return whether every live node lists every other live node as alive."""
+        live_nodes = self.live_nodes()
         return all(
-            self.status(one.name, other.name) is Status.ALIVE
-            for one in up
-            for other in up
-            if one is not other
+            self.status(viewer.name, other.name) is Status.ALIVE
+            for viewer in live_nodes
+            for other in live_nodes
+            if viewer is not other
         )
 
     def false_deaths(self) -> int:
-        """How often a member buried one that was up, in all."""
+        """Return how often members, in total, have declared a member dead that is up now."""
         return sum(
             change.after is Status.DEAD and self.nodes[change.name].is_up
             for node in self.nodes.values()
