--- a/micahold/routing/exchange.py
+++ b/micahold/routing/exchange.py
@@ -16,8 +16,8 @@
 from micahold import interface as api
 from micahold.controller import Controller
 from micahold.counters import Counters
-from micahold.protocol.engine_list import ListNews
-from micahold.protocol.load_report import parse_load
+from micahold.protocol.engine_list import EngineListEvent
+from micahold.protocol.load_report import parse_load_report
 from micahold.protocol.query_fields import ClientQuery
 from micahold.settings import decode_report
 from micahold.transport.attempts import Attempt, AttemptRequest, AttemptResult
@@ -121,7 +121,7 @@
         receives anything of it.
         """
         now = self.now()
-        remaining = query.wait - waited
+        remaining = query.wait_s - waited
         class_index = self.class_indices.get(query.class_name)
         tenant_index = self.tenant_indices.get(query.tenant or b"") if self.tenant_indices else 0
         if class_index is None:
@@ -130,7 +130,7 @@
             raise UnusableQueryError("unknown tenant")
         if query.id in self._open_ids:
             raise UnusableQueryError("this id is open already")
-        if query.wait > MAX_WAIT_DEADLINE_MULTIPLE * self.settings.classes[class_index].deadline_s:
+        if query.wait_s > MAX_WAIT_DEADLINE_MULTIPLE * self.settings.classes[class_index].deadline_s:
             raise UnusableQueryError("field wait is out of range")
         if remaining <= 0:
             raise UnusableQueryError("past its wait on arrival")
@@ -156,9 +156,9 @@
                 class_index=class_index,
                 tenant_index=tenant_index,
                 deadline=open_query.deadline,
-                estimated_cost_s=query.cost,
-                estimated_memory_mb=query.memory_mb,
-                table_group=query.tables,
+                estimated_cost_s=query.estimated_cost_s,
+                estimated_memory_mb=query.estimated_memory_mb,
+                table_group=query.table_group,
                 is_write=query.is_write,
             )
         )
@@ -187,7 +187,7 @@
         self._close_query(number, open_query, "dropped")
         self._queue_event(api.QueryDropped(number))
 
-    def apply_list_update(self, news: ListNews) -> None:
+    def apply_list_update(self, news: EngineListEvent) -> None:
         """Applies an update of the engine list to the directory, the pools and the controller.
 
         The directory goes first, because calls look up an engine's address at the time they are written.
@@ -215,7 +215,7 @@
         result_set = attempt_result.result_set
         if result_set is not None:
             self._answer(number, "served", lambda reply: reply.send_result(result_set))
-        load_values = parse_load(attempt_result.load_report, self.settings.report_columns)
+        load_values = parse_load_report(attempt_result.load_report, self.settings.report_columns)
         self._queue_event(
             api.AttemptEnded(
                 query=number,
--- a/tests/test_end_to_end.py
+++ b/tests/test_end_to_end.py
@@ -14,7 +14,7 @@
 
 import pytest
 
-from tests.mysql_client import ServerError, command, query
+from tests.mysql_client import ServerError, command_packet, query_packet
 from tests.standins import Channel, Client, Engine, configuration, free_port, list_event, member, wait_until
 
 ROOT = Path(__file__).parent.parent
@@ -83,7 +83,7 @@
     )
     assert body == statement
     assert front.channel.cursors == ["3"]
-    client.send(command(0x0E))
+    client.send(command_packet(0x0E))
     assert client.read()[4] == 0
 
 
@@ -97,16 +97,20 @@
 
 def test_kill_query_cancels_the_attempt(front: FrontProcess) -> None:
     client, killer = Client(front.port), Client(front.port)
-    client.send(query(b"/* class=lookup,id=00000000000000aa,wait=4000,tenant=one */ SELECT hold FROM s_3.t"))
+    client.send(
+        query_packet(b"/* class=lookup,id=00000000000000aa,wait=4000,tenant=one */ SELECT hold FROM s_3.t")
+    )
     wait_until(lambda: front.engine.running)
-    killer.send(query(b"KILL QUERY %d" % client.id))
+    killer.send(query_packet(b"KILL QUERY %d" % client.id))
     assert killer.read()[4] == 0
     wait_until(lambda: not front.engine.running)  # the engine has received DELETE
 
 
 def test_drain_answers_accepted_queries_and_exits_with_0(front: FrontProcess) -> None:
     client = Client(front.port)
-    client.send(query(b"/* class=lookup,id=00000000000000aa,wait=4000,tenant=one */ SELECT slow FROM s_3.t"))
+    client.send(
+        query_packet(b"/* class=lookup,id=00000000000000aa,wait=4000,tenant=one */ SELECT slow FROM s_3.t")
+    )
     wait_until(lambda: front.engine.running)
     front.process.send_signal(signal.SIGTERM)
     front.process.send_signal(signal.SIGTERM)
@@ -124,7 +128,9 @@
 def test_sigusr1_logs_counters_that_add_up(front: FrontProcess) -> None:
     client = Client(front.port)
     assert client.ask(1, b"SELECT rows FROM s_3.t") == ROWS
-    client.send(query(b"/* class=lookup,id=00000000000000aa,wait=4000,tenant=one */ SELECT hold FROM s_3.t"))
+    client.send(
+        query_packet(b"/* class=lookup,id=00000000000000aa,wait=4000,tenant=one */ SELECT hold FROM s_3.t")
+    )
     wait_until(lambda: f"{0xAA:016x}" in front.engine.running)
     front.process.send_signal(signal.SIGUSR1)
     wait_until(lambda: any(event["event"] == "counters" for event in front.events()))
