--- a/micahold/laboratory/__init__.py
+++ b/micahold/laboratory/__init__.py
@@ -1,1 +1,1 @@
-"""The project's own laboratory: models, experiments and their figures. The front never imports it."""
+"""Simulations and experiments, and the figures that they print. The front never imports this package."""
--- a/micahold/laboratory/lying_peer.py
+++ b/micahold/laboratory/lying_peer.py
@@ -1,7 +1,7 @@
-"""A member on real sockets that lies, for tests on loopback.
+"""A lying member on real sockets, for tests on loopback.
 
-``python -m micahold.laboratory.lying_peer FILE NAME ENGINE ...``: FILE is an operator's file, the engines are
-those it calls failing. It ends after ``LASTS_S`` by itself.
+``python -m micahold.laboratory.lying_peer FILE NAME ENGINE ...`` reports the given engines as failing. FILE
+is an operator's file and NAME the member's name. The process ends by itself after ``RUN_TIME_S``.
 """
 
 from __future__ import annotations
@@ -16,21 +16,24 @@
 from micahold.membership.service import GossipService
 from micahold.program.operator import group_options, read_settings_and_keys
 
-LASTS_S = 60.0
+RUN_TIME_S = 60.0
 
 
 def main(path: str, name: str, engines: list[str]) -> None:
-    """Run until the time is up or the process is ended."""
-    settings, hand, keyring = read_settings_and_keys(path)
-    assert settings.gossip is not None and hand is not None and keyring is not None
+    """Run the lying member for ``RUN_TIME_S`` or until the process is ended.
+
+    The operator's file has to name a gossip group and a signing key.
+    """
+    settings, signer, keyring = read_settings_and_keys(path)
+    assert settings.gossip is not None and signer is not None and keyring is not None
     reactor: Any = twisted_reactor
-    group = FalseFailureReporter(group_options(settings.gossip, name, 1), hand, keyring, time.time(), 1)
+    group = FalseFailureReporter(group_options(settings.gossip, name, 1), signer, keyring, time.time(), 1)
     peer = GossipService(
         reactor, time.time, group, settings.gossip.listen, lambda *_, **__: None, lambda _: None
     )
     peer.start()
     group.update_engine_list(time.time(), set(engines), set())
-    reactor.callLater(LASTS_S, reactor.stop)
+    reactor.callLater(RUN_TIME_S, reactor.stop)
     reactor.run()
 
 
