--- a/micahold/laboratory/peer_report_model.py
+++ b/micahold/laboratory/peer_report_model.py
@@ -39,7 +39,7 @@
 )
 RULES = api.Rules(retry_budget_floor=5.0, retry_budget_ratio=0.2, retry_window_s=10.0, answer_slack_s=0.02)
 TICK_INTERVAL_S = 0.05
-ADAPTER_POLL_INTERVAL_S = 0.1  # between looks of a gateway's controller at the group's conclusions
+ADAPTER_POLL_INTERVAL_S = 0.1  # between updates of each controller with the group's conclusions
 
 # The compared rules: own attempts only; peer reports with a quorum; any report of any peer at once.
 OWN_ATTEMPTS_RULE = "alone"
@@ -187,30 +187,30 @@
         self,
         rule: str,
         seed: int,
-        gateways: int = 10,
-        engines: int = 16,
+        gateway_count: int = 10,
+        engine_count: int = 16,
         queries_per_s: float = 60.0,
         liar_count: int = 0,
         liar_factory: GroupFactory = Group,
         error_probability: float = 0.0,
     ) -> None:
-        self.rule, self.seed, self.gateway_count = rule, seed, gateways
+        self.rule, self.seed, self.gateway_count = rule, seed, gateway_count
         self.queries_per_s = queries_per_s  # at each gateway
         self.error_probability = error_probability  # of an attempt on a healthy engine
-        self.engines = [f"e{index}" for index in range(engines)]
+        self.engines = [f"e{index}" for index in range(engine_count)]
         self.failing_engine: str | None = None
         self.metrics = FleetMetrics()
         self.network = Network(seed=seed)
-        honest = gateways - liar_count
+        honest_count = gateway_count - liar_count
         nodes = self.network.start_group(
-            gateways,
-            lambda name: Group if int(name[1:]) < honest else liar_factory,
+            gateway_count,
+            lambda name: Group if int(name[1:]) < honest_count else liar_factory,
             converged=True,
-            configured_gateways=gateways,
+            configured_gateways=gateway_count,
         )
         entries = tuple(api.EngineEntry(engine) for engine in self.engines)
-        self.gateways = [Gateway(self, node, index) for index, node in enumerate(nodes[:honest])]
-        for node in nodes[honest:]:
+        self.gateways = [Gateway(self, node, index) for index, node in enumerate(nodes[:honest_count])]
+        for node in nodes[honest_count:]:
             node.group.update_engine_list(self.network.now, set(self.engines), set())
         for gateway in self.gateways:
             gateway.handle_events(api.ListUpdate(api.ListKind.RESTORED, 1, entries))
@@ -255,7 +255,7 @@
 
     def _count_quarantining(self, gateways: list[Gateway]) -> int:
         """Add these gateways to those that ever quarantined the failing engine; return how many they are."""
-        self._ever_quarantining = getattr(self, "_ever_quarantining", set()) | {
+        self._ever_quarantined_by = getattr(self, "_ever_quarantined_by", set()) | {
             gateway.node.name for gateway in gateways
         }
-        return len(self._ever_quarantining)
+        return len(self._ever_quarantined_by)
