--- a/micahold/commands/trial.py
+++ b/micahold/commands/trial.py
@@ -23,7 +23,7 @@
     from rich.console import Console
     from rich.table import Table as RichTable
 
-    from micahold.laboratory.gossip_trial import Table, everything
+    from micahold.laboratory.gossip_trial import Table, run_all
 
     try:
         group_sizes = tuple(int(size) for size in sizes.split(","))
@@ -36,16 +36,16 @@
     def show(table: Table) -> None:
         if not as_json:
             rich_table = RichTable(
-                *table.heads, title=table.title, caption=table.note or None, title_justify="left"
+                *table.headings, title=table.title, caption=table.note or None, title_justify="left"
             )
             for row in table.rows:
                 rich_table.add_row(*row)
             console.print(rich_table)
 
-    tables = everything(list(range(1, seeds + 1)), group_sizes, processes, show)
+    tables = run_all(list(range(1, seeds + 1)), group_sizes, processes, show)
     if as_json:
         rows_by_title = {
-            result.title: [dict(zip(result.heads, row, strict=True)) for row in result.rows]
+            result.title: [dict(zip(result.headings, row, strict=True)) for row in result.rows]
             for result in tables
         }
         click.echo(orjson.dumps({"seeds": seeds, "tables": rows_by_title}))
