--- a/micahold/__main__.py
+++ b/micahold/__main__.py
@@ -10,7 +10,7 @@
 
 
 def main() -> int:
-    """Run the front or a sub-command and return the exit code.
+    """Runs the front or a sub-command and returns the exit code.
 
     ``micahold.program.start`` documents the codes of the front, ``micahold --help`` the commands.
     """
--- a/micahold/commands/cli.py
+++ b/micahold/commands/cli.py
@@ -31,7 +31,7 @@
         return command
 
     def format_commands(self, context: click.Context, formatter: click.HelpFormatter) -> None:
-        """Write the help of the group from ``COMMANDS``, without importing the modules."""
+        """Writes the help of the group from ``COMMANDS``, without importing the modules."""
         with formatter.section("Commands"):
             formatter.write_dl(sorted(COMMANDS.items()))
 
@@ -46,7 +46,7 @@
 
 
 def run() -> int:
-    """Run the command line; the exit code is 0 for success, 1 for an error found, 2 for an unusable call."""
+    """Runs the command line; the exit code is 0 for success, 1 for an error found, 2 for an unusable call."""
     try:
         main.main(prog_name="micahold", standalone_mode=False)
     except click.ClickException as error:
--- a/micahold/program/collector.py
+++ b/micahold/program/collector.py
@@ -30,7 +30,7 @@
         self.count = count
 
     def start(self) -> None:
-        """Collect once, turn automatic passes off and begin the checks."""
+        """Collects once, turns automatic passes off and begins the checks."""
         gc.collect()
         gc.freeze()  # objects of the start-up stay alive, so later passes need not traverse them
         gc.disable()
--- a/micahold/program/configuration.py
+++ b/micahold/program/configuration.py
@@ -64,7 +64,7 @@
 
 
 def parse_configuration(data: bytes) -> Configuration:
-    """Decode the platform's JSON; ``FormatError`` with one line of text where it is not usable."""
+    """Decodes the platform's JSON; ``FormatError`` with one line of text where it is not usable."""
     try:
         document: Any = orjson.loads(data)
     except orjson.JSONDecodeError as error:
--- a/micahold/program/front.py
+++ b/micahold/program/front.py
@@ -55,19 +55,19 @@
     """The subsystems that the operator's own file enables beside the front."""
 
     def start(self) -> None:
-        """Start the subsystems; the front calls it once it listens."""
+        """Starts the subsystems; the front calls it once it listens."""
         ...
 
     def leave(self) -> None:
-        """Announce the exit to other fronts; the front calls it when the shutdown begins."""
+        """Announces the exit to other fronts; the front calls it when the shutdown begins."""
         ...
 
     def stop(self) -> None:
-        """Stop the subsystems; the front calls it right before it stops."""
+        """Stops the subsystems; the front calls it right before it stops."""
         ...
 
     def reload(self) -> None:
-        """Read the operator's own file again and apply what may change in service."""
+        """Reads the operator's own file again and applies what may change in service."""
         ...
 
     def counters(self) -> dict[str, int]:
@@ -141,7 +141,7 @@
         self.log("phase", phase=phase.value)
 
     def start(self) -> None:
-        """Apply the initial engine list, then start the listener and the command channel.
+        """Applies the initial engine list, then starts the listener and the command channel.
 
         Raises ``CannotListenError`` if the address is in use.
         """
@@ -166,7 +166,7 @@
             self.clock.callLater(POLL_INTERVAL_S, self._flush_log)
 
     def _sample_lateness(self, due: float) -> None:
-        """Record how long after ``due``, in the reactor's time, this timer has fired."""
+        """Records how long after ``due``, in the reactor's time, this timer has fired."""
         now = self.clock.seconds()
         self.counters.record_max("loop_late_ms", round((now - due) * 1000))
         self.clock.callLater(
@@ -174,7 +174,7 @@
         )
 
     def _apply_list_event(self, data: bytes) -> bool:
-        """Apply an event of the engine list; False where it is unreadable."""
+        """Applies an event of the engine list; False where it is unreadable."""
         settings = self.configuration.settings
         try:
             list_event: EngineListEvent = parse_list_event(
@@ -190,7 +190,7 @@
     # Reload
 
     def reload_configuration(self, read: Callable[[], Configuration]) -> None:
-        """Apply the address of the command channel; all other changes apply on a restart only.
+        """Applies the address of the command channel; all other changes apply on a restart only.
 
         A file that is missing, half written or unusable changes nothing, so that SIGHUP never ends the
         process.
@@ -210,7 +210,7 @@
         self.channel.change_address(new.channel)
 
     def reload(self, read: Callable[[], Configuration]) -> None:
-        """Handle SIGHUP: reload the platform's configuration and the operator's file independently."""
+        """Handles SIGHUP: reloads the platform's configuration and the operator's file independently."""
         self.reload_configuration(read)
         if self.subsystems is not None:
             self.subsystems.reload()
@@ -218,7 +218,7 @@
     # Shutdown
 
     def begin_shutdown(self) -> None:
-        """Handle SIGTERM: begin the notice period; a second signal changes nothing."""
+        """Handles SIGTERM: begins the notice period; a second signal changes nothing."""
         if self.phase is not Phase.SERVING:
             return
         self._enter(Phase.NOTICE)
@@ -239,7 +239,7 @@
         self._await_answers()
 
     def _await_answers(self) -> None:
-        """Wait for answers until the drain deadline, then fail all open queries.
+        """Waits for answers until the drain deadline, then fails all open queries.
 
         No query stays without an answer when the process exits.
         """
@@ -256,7 +256,7 @@
         self._await_sessions()
 
     def _await_sessions(self) -> None:
-        """Wait for sessions to send their last answers until the flush deadline, then stop."""
+        """Waits for sessions to send their last answers until the flush deadline, then stops."""
         if len(self.sessions) and self.clock.seconds() < self._flush_deadline:
             self.clock.callLater(POLL_INTERVAL_S / 5, self._await_sessions)
             return
@@ -268,7 +268,7 @@
         self._stop()
 
     def log_counters(self) -> None:
-        """Log all counters of the front and its subsystems."""
+        """Logs all counters of the front and its subsystems."""
         subsystem_counters = self.subsystems.counters() if self.subsystems is not None else {}
         self.log(
             "counters", open=self.exchange.unanswered_count, **self.counters.snapshot(), **subsystem_counters
--- a/micahold/program/log.py
+++ b/micahold/program/log.py
@@ -28,14 +28,14 @@
         os.set_blocking(descriptor, False)
 
     def defer_flushes(self, schedule: Callable[[], None]) -> None:
-        """Call ``schedule`` when the buffer gets its first line, instead of a flush after each line.
+        """Calls ``schedule`` when the buffer gets its first line, instead of a flush after each line.
 
         ``schedule`` has to arrange calls of ``flush`` until the buffer is empty.
         """
         self._schedule_flush = schedule
 
     def __call__(self, event: str, **fields: Any) -> None:
-        """Log ``event`` with ``fields``; values that JSON does not have are written as their ``repr``."""
+        """Logs ``event`` with ``fields``; values that JSON does not have are written as their ``repr``."""
         line = orjson.dumps({"ts": round(self._now(), 4), "event": event, **fields}, default=repr) + b"\n"
         if len(self._buffer) + len(line) > MAX_BUFFERED_BYTES:
             self._counters.add("log_lines_lost")
@@ -48,7 +48,7 @@
             self._schedule_flush()
 
     def flush(self) -> bool:
-        """Write as much as the descriptor accepts without blocking; True when the buffer is empty."""
+        """Writes as much as the descriptor accepts without blocking; True when the buffer is empty."""
         try:
             while self._buffer:
                 written = os.write(self._descriptor, self._buffer)
--- a/micahold/program/loop.py
+++ b/micahold/program/loop.py
@@ -100,7 +100,7 @@
         return min(MAX_ASSUMED_LATENESS_S, self._lateness)
 
     def _end_iteration(self) -> bool:
-        """Run the calls for the end of the iteration and send; True if there was anything to do."""
+        """Runs the calls for the end of the iteration and sends; True if there was anything to do."""
         acted = bool(self._iteration_end_calls)
         while self._iteration_end_calls:
             calls, self._iteration_end_calls = self._iteration_end_calls, []
@@ -112,7 +112,7 @@
         return self._send_unsent() or acted
 
     def _send_unsent(self) -> bool:
-        """Send what this iteration wrote; True if there was anything.
+        """Sends what this iteration wrote; True if there was anything.
 
         Registers a connection with epoll only where the socket did not take all of its data.
         """
@@ -131,7 +131,7 @@
         return sent
 
     def doPoll(self, timeout: float | None) -> None:
-        """End the iteration that ran before, then poll for at most ``timeout`` seconds and handle events."""
+        """Ends the previous iteration, polls for at most ``timeout`` seconds and handles the ready events."""
         if self._end_iteration():
             # The calls may have closed connections and set timers since the timeout was computed.
             timeout = self.timeout()
@@ -163,7 +163,7 @@
 
 
 def install() -> Any:
-    """Install a ``FrontReactor`` as the process's reactor and return it.
+    """Installs a ``FrontReactor`` as the process's reactor and returns it.
 
     It must run before any import of ``twisted.internet.reactor``, which installs Twisted's default.
     """
--- a/micahold/program/operator.py
+++ b/micahold/program/operator.py
@@ -90,17 +90,17 @@
             front.exchange.observer = self.gossip.observe
 
     def start(self) -> None:
-        """Start gossip if it is on; ``CannotListenError`` where its address is in use."""
+        """Starts gossip if it is on; ``CannotListenError`` where its address is in use."""
         if self.gossip is not None:
             self.gossip.start()
 
     def leave(self) -> None:
-        """Announce the exit of this member to the group."""
+        """Announces the exit of this member to the group."""
         if self.gossip is not None:
             self.gossip.leave()
 
     def stop(self) -> None:
-        """Stop gossip if it is on."""
+        """Stops gossip if it is on."""
         if self.gossip is not None:
             self.gossip.stop()
 
@@ -109,7 +109,7 @@
         return self.gossip.counters() if self.gossip is not None else {}
 
     def reload(self) -> None:
-        """Apply the settings and keys that may change in service; an unusable file changes nothing."""
+        """Applies the settings and keys that may change in service; an unusable file changes nothing."""
         try:
             settings, signer, keyring = read_settings_and_keys(self.path)
         except OperatorFileError as error:
--- a/micahold/program/operator_file.py
+++ b/micahold/program/operator_file.py
@@ -158,7 +158,7 @@
         self.problems: list[str] = []
 
     def add_problem(self, line: int, path: str, found: str, expected: str) -> Any:
-        """Record an error in the setting at ``path``; returns ``INVALID``."""
+        """Records an error in the setting at ``path``; returns ``INVALID``."""
         self.problems.append(f"{self.name}:{line}: {path}: found {found}, expected {expected}")
         return INVALID
 
--- a/micahold/program/start.py
+++ b/micahold/program/start.py
@@ -27,7 +27,7 @@
 
 
 def print_error(text: str) -> None:
-    """Print ``text`` on standard error after the program's name."""
+    """Prints ``text`` on standard error after the program's name."""
     print(f"micahold: {text}", file=sys.stderr, flush=True)
 
 
@@ -57,7 +57,7 @@
 
 
 def start() -> int:
-    """Run the front until it stops and return the exit code.
+    """Runs the front until it stops and returns the exit code.
 
     The code is 0 after SIGTERM, 1 where the address cannot be bound, 2 where the configuration is not usable.
     """
@@ -82,7 +82,7 @@
             return EXIT_BAD_CONFIGURATION
 
     def log_twisted_error(event: dict[str, Any]) -> None:
-        """Log an exception that Twisted caught: it ended one session or call, and the front goes on."""
+        """Logs an exception that Twisted caught: it ended one session or call, and the front goes on."""
         if event.get("isError"):
             failure = event.get("failure")
             text = failure.getBriefTraceback() if failure is not None else repr(event.get("message"))
