--- a/micahold/membership/signing.py
+++ b/micahold/membership/signing.py
@@ -143,10 +143,10 @@
         if len(raw_key) != 32:
             raise ValueError("expected 32 bytes in base64")
         times = {"since": 0.0, "until": float("inf")}
-        for word, time in validity:
-            if _atom_text(word) not in times:
-                raise ValueError(f"unknown word {_atom_text(word)}")
-            times[_atom_text(word)] = _parse_time(_atom_text(time))
+        for bound_name, bound_time in validity:
+            if _atom_text(bound_name) not in times:
+                raise ValueError(f"unknown word {_atom_text(bound_name)}")
+            times[_atom_text(bound_name)] = _parse_time(_atom_text(bound_time))
         if times["since"] >= times["until"]:
             raise ValueError("until is not after since")
         return _atom_text(key_id), raw_key, times["since"], times["until"]
--- a/micahold/routing/exchange.py
+++ b/micahold/routing/exchange.py
@@ -187,23 +187,23 @@
         self._close_query(number, open_query, "dropped")
         self._queue_event(api.QueryDropped(number))
 
-    def apply_list_update(self, news: EngineListEvent) -> None:
+    def apply_list_update(self, list_event: EngineListEvent) -> None:
         """Applies an update of the engine list to the directory, the pools and the controller.
 
         The directory goes first, because calls look up an engine's address at the time they are written.
         """
-        for engine in self.directory.update(news):
+        for engine in self.directory.update(list_event):
             self.pools.close_idle(engine)  # the engine has gone or has a new address
-        if news.update.kind is not api.ListKind.CHANGES:
+        if list_event.update.kind is not api.ListKind.CHANGES:
             self._engine_entries.clear()
-        for entry in news.update.entries:
+        for entry in list_event.update.entries:
             if entry.state is api.EngineState.GONE:
                 # Engine ids are not reused: keeping entries of engines that have gone would leak memory.
                 self._engine_entries.pop(entry.engine, None)
             else:
                 self._engine_entries[entry.engine] = entry
         self.counters.add("list_updates")
-        self._queue_event(news.update)
+        self._queue_event(list_event.update)
 
     def _on_attempt_end(
         self, attempt_result: AttemptResult, number: int, attempt: int, engine: str, sent_at: float
--- a/micahold/transport/directory.py
+++ b/micahold/transport/directory.py
@@ -16,14 +16,14 @@
         self._addresses: dict[str, tuple[str, int]] = {}
         self._states: dict[str, EngineState] = {}
 
-    def update(self, news: EngineListEvent) -> list[str]:
+    def update(self, list_event: EngineListEvent) -> list[str]:
         """Applies an event of the engine list; returns the engines that are gone or have a new address."""
         old_addresses = dict(self._addresses)
-        if news.update.kind in (ListKind.FULL, ListKind.RESTORED):
+        if list_event.update.kind in (ListKind.FULL, ListKind.RESTORED):
             self._states.clear()
-        for entry in news.update.entries:
+        for entry in list_event.update.entries:
             self._states[entry.engine] = entry.state
-        self._addresses.update(news.addresses)
+        self._addresses.update(list_event.addresses)
         self._states = {
             engine_id: state for engine_id, state in self._states.items() if state is not EngineState.GONE
         }
