--- a/tests/build.py
+++ b/tests/build.py
@@ -76,7 +76,7 @@
     return api.ListUpdate(api.ListKind.RESTORED, 1, tuple(entry(index) for index in range(number)))
 
 
-class Gateway:
+class GatewayHarness:
     """A controller with a clock and ``number`` engines, which records the attempts that it sends."""
 
     def __init__(self, number: int = 4, seed: int = 1, **changes: Any) -> None:
@@ -86,9 +86,9 @@
         self.next_id = 1
         self.attempts: dict[int, int] = {}  # by query: the number of its last attempt
         self.engine_of: dict[int, str] = {}  # by query: the engine of its last attempt
-        self.tell(engines(number))
+        self.handle_events(engines(number))
 
-    def tell(self, *events: api.Event, after: float = 0.0) -> list[api.Action]:
+    def handle_events(self, *events: api.Event, after: float = 0.0) -> list[api.Action]:
         """Passes one batch of events to the controller, ``after`` seconds later, and returns its actions."""
         self.now += after
         actions = self.controller.handle(self.now, events)
@@ -98,7 +98,7 @@
                 self.engine_of[action.query] = action.engine
         return actions
 
-    def query(self, query_class: int = LOOKUP, **changes: Any) -> api.QueryArrived:
+    def build_arrival(self, query_class: int = LOOKUP, **changes: Any) -> api.QueryArrived:
         """The arrival event of a new query, which is not passed on yet."""
         self.next_id += 1
         deadline = self.now + self.settings.classes[query_class].deadline_s
@@ -107,12 +107,12 @@
         )
         return replace(arrival, **changes)
 
-    def ask(self, query_class: int = LOOKUP, **changes: Any) -> tuple[int, list[api.Action]]:
+    def submit_query(self, query_class: int = LOOKUP, **changes: Any) -> tuple[int, list[api.Action]]:
         """Passes on a new query; returns its number and the actions."""
-        event = self.query(query_class, **changes)
-        return event.query, self.tell(event)
+        event = self.build_arrival(query_class, **changes)
+        return event.query, self.handle_events(event)
 
-    def ended(
+    def build_attempt_end(
         self, query: int, outcome: api.Outcome, elapsed_s: float = 0.1, **more: Any
     ) -> api.AttemptEnded:
         """The event that ends the last attempt of a query."""
@@ -121,16 +121,18 @@
             query, self.attempts[query], self.engine_of[query], outcome, elapsed_s, settled, **more
         )
 
-    def end(self, query: int, outcome: api.Outcome, after: float = 0.1, **more: Any) -> list[api.Action]:
+    def end_attempt(
+        self, query: int, outcome: api.Outcome, after: float = 0.1, **more: Any
+    ) -> list[api.Action]:
         """Ends the last attempt of a query ``after`` seconds from now."""
         self.now += after
-        return self.tell(self.ended(query, outcome, after, **more))
+        return self.handle_events(self.build_attempt_end(query, outcome, after, **more))
 
-    def tick(self, after: float = 0.05, times: int = 1) -> list[api.Action]:
+    def fire_timer(self, after: float = 0.05, times: int = 1) -> list[api.Action]:
         """Fires the timer ``times`` times, each ``after`` seconds later."""
         actions: list[api.Action] = []
         for _ in range(times):
-            actions += self.tell(api.TimerFired(1), after=after)
+            actions += self.handle_events(api.TimerFired(1), after=after)
         return actions
 
 
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -11,7 +11,7 @@
 from micahold import interface as api
 from micahold.controller import EngineView
 from tests import build
-from tests.build import LOOKUP, REPORT, Gateway, finals, sends
+from tests.build import LOOKUP, REPORT, GatewayHarness, finals, sends
 
 
 class AttributeReads:
@@ -28,14 +28,16 @@
         monkeypatch.setattr(EngineView, "__getattribute__", counted)
 
 
-def run_traffic(gateway: Gateway, number: int = 60) -> None:
-    """Ordinary traffic: queries, status messages, ticks and successful ends."""
+def run_traffic(gateway: GatewayHarness, number: int = 60) -> None:
+    """Ordinary traffic: queries, status messages, timer events and successful ends."""
     for index in range(number):
-        query, _ = gateway.ask(index % 2, table_group=index % 7)
+        query, _ = gateway.submit_query(index % 2, table_group=index % 7)
         engine = gateway.engine_of[query]
-        gateway.tell(api.AttemptStatus(query, 0, engine, api.AttemptStatusKind.PROGRESS, 0.5), after=0.05)
-        gateway.tick()
-        gateway.end(query, api.Outcome.OK, after=0.05)
+        gateway.handle_events(
+            api.AttemptStatus(query, 0, engine, api.AttemptStatusKind.PROGRESS, 0.5), after=0.05
+        )
+        gateway.fire_timer()
+        gateway.end_attempt(query, api.Outcome.OK, after=0.05)
 
 
 def test_work_for_a_query_and_its_outcome_does_not_grow_with_the_fleet(
@@ -45,7 +47,7 @@
     reads = AttributeReads(monkeypatch)
     counts = []
     for number in (8, 800):
-        gateway = Gateway(number=number, gateway_count=number * 6)
+        gateway = GatewayHarness(number=number, gateway_count=number * 6)
         run_traffic(gateway)  # computes the hash orders, which happens once
         before = reads.count
         run_traffic(gateway)
@@ -54,23 +56,23 @@
 
 
 def test_an_idle_gateway_sets_no_timer_and_a_busy_one_sets_one_at_a_time() -> None:
-    gateway = Gateway()
-    timers = [action for action in gateway.tick() if isinstance(action, api.SetTimer)]
+    gateway = GatewayHarness()
+    timers = [action for action in gateway.fire_timer() if isinstance(action, api.SetTimer)]
     assert not timers
     for _ in range(10):
-        timers += [action for action in gateway.ask()[1] if isinstance(action, api.SetTimer)]
+        timers += [action for action in gateway.submit_query()[1] if isinstance(action, api.SetTimer)]
     assert len(timers) == 1
 
 
 def test_a_timer_that_fires_slightly_early_is_set_again() -> None:
     """Guards against lost held queries: a due time rounded down left the gateway without a timer."""
-    gateway = Gateway(number=0)
-    query, actions = gateway.ask()
+    gateway = GatewayHarness(number=0)
+    query, actions = gateway.submit_query()
     for _ in range(400):
         delays = [action.delay for action in actions if isinstance(action, api.SetTimer)]
         if not delays:
             break
-        actions = gateway.tell(api.TimerFired(1), after=delays[-1] - 1e-9)
+        actions = gateway.handle_events(api.TimerFired(1), after=delays[-1] - 1e-9)
         if finals(actions):
             break
     assert [answer.query for answer in finals(actions)] == [query]
@@ -79,23 +81,23 @@
 @pytest.mark.parametrize("outcome", [api.Outcome.CONNECT_FAILED, api.Outcome.RESET, api.Outcome.TIMEOUT])
 def test_an_engine_back_from_quarantine_gets_one_query_until_it_answers(outcome: api.Outcome) -> None:
     """Quarantine ends by time alone, and queries sent at once would be lost if the engine still fails."""
-    gateway = Gateway(number=2)
-    query, _ = gateway.ask(LOOKUP)
+    gateway = GatewayHarness(number=2)
+    query, _ = gateway.submit_query(LOOKUP)
     failed = gateway.engine_of[query]
-    gateway.end(query, outcome, after=4.0)
-    assert failed not in {gateway.engine_of[gateway.ask()[0]] for _ in range(10)}
-    gateway.tick(after=12.0)
-    burst = sends(gateway.tell(*(gateway.query(REPORT) for _ in range(30))))
+    gateway.end_attempt(query, outcome, after=4.0)
+    assert failed not in {gateway.engine_of[gateway.submit_query()[0]] for _ in range(10)}
+    gateway.fire_timer(after=12.0)
+    burst = sends(gateway.handle_events(*(gateway.build_arrival(REPORT) for _ in range(30))))
     (trial,) = [send.query for send in burst if send.engine == failed]
-    gateway.end(trial, api.Outcome.OK)
-    burst = sends(gateway.tell(*(gateway.query(REPORT) for _ in range(30))))
+    gateway.end_attempt(trial, api.Outcome.OK)
+    burst = sends(gateway.handle_events(*(gateway.build_arrival(REPORT) for _ in range(30))))
     assert [send.engine for send in burst].count(failed) > 1
 
 
 def test_a_gateway_among_many_still_sends_its_queries() -> None:
-    gateway = Gateway(number=30, gateway_count=250)
+    gateway = GatewayHarness(number=30, gateway_count=250)
     for table_group in range(20):
-        query, actions = gateway.ask(REPORT, estimated_cost_s=4.0, table_group=table_group)
+        query, actions = gateway.submit_query(REPORT, estimated_cost_s=4.0, table_group=table_group)
         assert [send.query for send in sends(actions)] == [query]
 
 
@@ -103,53 +105,55 @@
     """Homes are the same at all gateways and look idle to each of them, so all chose the first."""
     chosen = []
     for number in range(30):
-        gateway = Gateway(number=9, gateway_index=number, gateway_count=60)
-        chosen.append(gateway.engine_of[gateway.ask(table_group=5)[0]])
+        gateway = GatewayHarness(number=9, gateway_index=number, gateway_count=60)
+        chosen.append(gateway.engine_of[gateway.submit_query(table_group=5)[0]])
     assert all(chosen.count(engine) == 10 for engine in set(chosen))
     assert len(set(chosen)) == 3
 
 
 def test_an_engine_busy_with_queries_of_other_gateways_is_avoided_by_its_load_report() -> None:
     """A gateway among many sees little of an engine's load by its own queries."""
-    gateway = Gateway(number=9, gateway_count=60)
-    query, _ = gateway.ask()
+    gateway = GatewayHarness(number=9, gateway_count=60)
+    query, _ = gateway.submit_query()
     loaded = gateway.engine_of[query]
-    gateway.end(query, api.Outcome.OK, report=api.LoadReport(busy_share=0.9, in_flight=60))
-    assert gateway.engine_of[gateway.ask()[0]] != loaded
+    gateway.end_attempt(query, api.Outcome.OK, report=api.LoadReport(busy_share=0.9, in_flight=60))
+    assert gateway.engine_of[gateway.submit_query()[0]] != loaded
 
 
 def test_a_busy_report_counts_until_a_better_one() -> None:
     """Guards against forgetting pressure after one second, when reports come only every few seconds."""
     for later_report, max_sent in ((None, 20), (api.LoadReport(busy_share=0.3), 60)):
-        gateway = Gateway(number=1)
-        first, second = gateway.ask()[0], gateway.ask()[0]
-        gateway.end(first, api.Outcome.OK, report=api.LoadReport(busy_share=1.0))
-        gateway.end(second, api.Outcome.OK, after=2.0, report=later_report)
-        assert (len(sends(gateway.tell(*(gateway.query() for _ in range(60))))) == 60) is (max_sent == 60)
+        gateway = GatewayHarness(number=1)
+        first, second = gateway.submit_query()[0], gateway.submit_query()[0]
+        gateway.end_attempt(first, api.Outcome.OK, report=api.LoadReport(busy_share=1.0))
+        gateway.end_attempt(second, api.Outcome.OK, after=2.0, report=later_report)
+        assert (len(sends(gateway.handle_events(*(gateway.build_arrival() for _ in range(60))))) == 60) is (
+            max_sent == 60
+        )
 
 
 @pytest.mark.parametrize("outcome", [api.Outcome.TIMEOUT, api.Outcome.OK])
 def test_the_attempt_of_a_dropped_query_is_cancelled(outcome: api.Outcome) -> None:
     """Guards against engines that run both the abandoned query and its repeat by the client."""
-    gateway = Gateway()
-    query, _ = gateway.ask()
-    assert api.Cancel(query, 0) in gateway.tell(api.QueryDropped(query))
-    assert not finals(gateway.end(query, outcome))
+    gateway = GatewayHarness()
+    query, _ = gateway.submit_query()
+    assert api.Cancel(query, 0) in gateway.handle_events(api.QueryDropped(query))
+    assert not finals(gateway.end_attempt(query, outcome))
 
 
 def cold_work(gateways: int, cost: float, seconds: float, per_second: float) -> list[tuple[float, float]]:
     """When, and how much work, the gateways of a fleet send to its only engine, which is cold."""
     sent = []
     for number in range(gateways):
-        gateway = Gateway(number=1, seed=number, gateway_index=number, gateway_count=gateways)
+        gateway = GatewayHarness(number=1, seed=number, gateway_index=number, gateway_count=gateways)
         start = gateway.now
-        gateway.tell(api.ListUpdate(api.ListKind.CHANGES, 2, (build.entry(0, started_at=start),)))
+        gateway.handle_events(api.ListUpdate(api.ListKind.CHANGES, 2, (build.entry(0, started_at=start),)))
         for _ in range(int(seconds * per_second)):
-            actions = gateway.ask(estimated_cost_s=cost)[1] + gateway.tick(after=0.0)
+            actions = gateway.submit_query(estimated_cost_s=cost)[1] + gateway.fire_timer(after=0.0)
             while attempts := sends(actions):
                 sent += [(gateway.now - start, cost) for _ in attempts]
-                actions = gateway.tell(
-                    *(gateway.ended(send.query, api.Outcome.OK, cost) for send in attempts)
+                actions = gateway.handle_events(
+                    *(gateway.build_attempt_end(send.query, api.Outcome.OK, cost) for send in attempts)
                 )
             gateway.now += 1.0 / per_second
     return sorted(sent)
@@ -174,14 +178,14 @@
 
 def test_the_backoff_from_a_full_engine_grows_until_it_answers() -> None:
     """Guards against gateways with little traffic that each retry a full engine at once, mostly in vain."""
-    gateway = Gateway(number=1, limits=replace(build.LIMITS, max_attempts=100))
-    query, _ = gateway.ask(REPORT)
+    gateway = GatewayHarness(number=1, limits=replace(build.LIMITS, max_attempts=100))
+    query, _ = gateway.submit_query(REPORT)
     sent_at: list[float] = []
     for _ in range(200):
         if gateway.attempts[query] + 1 > len(sent_at):
             sent_at.append(gateway.now)
-            gateway.end(query, api.Outcome.FULL, after=0.0)
-        gateway.tick()
+            gateway.end_attempt(query, api.Outcome.FULL, after=0.0)
+        gateway.fire_timer()
     gaps = [later - earlier for earlier, later in pairwise(sent_at)]
     assert 2 <= len(sent_at) <= 12
     assert max(gaps) > 2 * gaps[0]
@@ -189,14 +193,20 @@
 
 def sent_after_outcomes(outcome: api.Outcome, gateways: int) -> int:
     """Ends attempts with ``outcome`` on responding engines; returns how many of 60 queries are then sent."""
-    gateway = Gateway(number=10, gateway_count=gateways, limits=replace(build.LIMITS, max_attempts=1))
+    gateway = GatewayHarness(number=10, gateway_count=gateways, limits=replace(build.LIMITS, max_attempts=1))
     for table_group in range(40):
-        query, _ = gateway.ask(table_group=table_group)
+        query, _ = gateway.submit_query(table_group=table_group)
         status = api.AttemptStatus(query, 0, gateway.engine_of[query], api.AttemptStatusKind.SPILLING, 9.0)
-        gateway.tell(status, after=1.0)
-        gateway.end(query, outcome, after=3.0)
-        gateway.tick(after=12.0)
-    return len(sends(gateway.tell(*(gateway.query(table_group=table_group) for table_group in range(60)))))
+        gateway.handle_events(status, after=1.0)
+        gateway.end_attempt(query, outcome, after=3.0)
+        gateway.fire_timer(after=12.0)
+    return len(
+        sends(
+            gateway.handle_events(
+                *(gateway.build_arrival(table_group=table_group) for table_group in range(60))
+            )
+        )
+    )
 
 
 def test_in_congestion_a_gateway_among_many_uses_part_of_its_even_bound() -> None:
